--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_status_pages.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_status_pages.py
@@ -89,7 +89,7 @@
         believe("emptied_zones", len(self._beliefs.emptied_zones))
         believe("peers_heard", len(self._fleet.alive()))
         believe("rate_share", self._rates.share)
-        believe("program_share", self._entry.least_share())
+        believe("program_share", self._entry.min_admitted_fraction())
         believe("store_up", float(self._store.direct_up))
         believe("slots_lending", len(self._lender.slots()))
         believe("isolated", float(self._isolation.active))
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
@@ -17,7 +17,7 @@
 from swifttide_daemon.gateway.budgets._reservation import Reservation
 from swifttide_daemon.gateway.callers._caller_channel import CallerChannel
 from swifttide_daemon.gateway.callers._caller_request import CallerRequest
-from swifttide_daemon.gateway.callers._job import Job, Progress, age_of
+from swifttide_daemon.gateway.callers._job import Job, Progress, request_age_seconds
 from swifttide_daemon.gateway.callers._program_entry import ProgramEntry
 from swifttide_daemon.gateway.callers._refusal import Refusal
 from swifttide_daemon.gateway.rates._rate_keeper import RateKeeper
@@ -28,22 +28,22 @@
 """Longest wait for a customer's rate: a turn of a program is sent again twice, and
 what waited longer would mostly be late."""
 
-RATE_WAIT_PART = 0.5
+RATE_WAIT_FRACTION = 0.5
 """Part of a request's time that it may spend waiting for its customer's rate; the rest
 is for the work."""
 
 STORE_RETRY_SECONDS = 0.5
 """When to come back to a store that didn't answer within the request's time."""
 
-EMPTIED_RETRY_SECONDS = 1.0
+ZONES_EMPTIED_RETRY_SECONDS = 1.0
 """When to come back while all zones with targets of a service are emptied: an operator
 takes one back within seconds at the earliest."""
 
-PROGRAM_KEY_CHARS = 12
+PROGRAM_KEY_PREFIX_CHARS = 12
 """Of a program's key in questions about rates: enough for the programs of a customer
 that are under way at once."""
 
-DEFAULT_PATIENCE_SECONDS = 60.0
+DEFAULT_REQUEST_TIMEOUT_SECONDS = 60.0
 """For a request whose caller and route name no time."""
 
 
@@ -80,22 +80,24 @@
         self, req: CallerRequest, channel: CallerChannel, progress: Progress
     ) -> Job:
         """Let a request in; raises `Refusal`."""
-        route, terms = self._check(req)
-        patience = req.patience_seconds or DEFAULT_PATIENCE_SECONDS
-        expires_at = req.received_at + min(patience, route.timeout_seconds)
+        route, terms = self._resolve_route(req)
+        timeout = req.timeout_seconds or DEFAULT_REQUEST_TIMEOUT_SECONDS
+        expires_at = req.received_at + min(timeout, route.timeout_seconds)
         service = self._beliefs.config.service(self._pick_service(route))
-        homes = _homes_of(route, terms)
+        homes = _allowed_regions(route, terms)
         self._check_targets(service, homes)
         customer = terms.name if terms else ""
         fingerprint = self._check_strikes(req, customer)
         may_be_new = self._may_be_new(req, customer)
         if req.turn.budget_tokens and route.kind is RequestKind.STREAMING:
-            self._entry.look(service)
+            self._entry.observe_load(service)
             if may_be_new:
-                await self._check_entry(req, customer, service, homes)
+                await self._check_program_entry(req, customer, service, homes)
         if terms:
-            await self._take_token(req, terms, expires_at, may_be_new, _kind_of(route))
-            progress.rate_seconds = age_of(req)
+            await self._acquire_rate_token(
+                req, terms, expires_at, may_be_new, _program_kind(route)
+            )
+            progress.rate_seconds = request_age_seconds(req)
         try:
             async with asyncio.timeout_at(expires_at):
                 body, reservation = await self._prepare(req, route, customer, homes)
@@ -118,7 +120,7 @@
             homes,
         )
 
-    def take_back(self, job: Job) -> None:
+    def refund_unsent(self, job: Job) -> None:
         """Undo what a job that was sent to no target has used up."""
         self._refund(job.terms)
 
@@ -132,7 +134,7 @@
         if terms:
             self._rates.refund(terms)
 
-    def _check(self, req) -> tuple[Route, CustomerTerms | None]:
+    def _resolve_route(self, req) -> tuple[Route, CustomerTerms | None]:
         """Find route and customer; raises `Refusal`."""
         cfg = self._beliefs.config
         if cfg is None or not self._beliefs.targets_known:
@@ -140,7 +142,7 @@
         route = cfg.find_route(req.host, req.path)
         if route is None:
             raise Refusal(404, "no_such_route")
-        terms = cfg.customer_of(req.key) if req.key else None
+        terms = cfg.customer_of(req.api_key) if req.api_key else None
         if terms is None and cfg.needs_keys and not route.public:
             raise Refusal(401, "unknown_key")
         return route, terms
@@ -150,9 +152,9 @@
         if self._beliefs.targets_of(service.name, homes):
             return
         if homes is not None and self._beliefs.targets_of(service.name):
-            raise Refusal(503, "no_target_at_home", EMPTIED_RETRY_SECONDS)
+            raise Refusal(503, "no_target_at_home", ZONES_EMPTIED_RETRY_SECONDS)
         if self._beliefs.emptied_zones:
-            raise Refusal(503, "zones_emptied", EMPTIED_RETRY_SECONDS)
+            raise Refusal(503, "zones_emptied", ZONES_EMPTIED_RETRY_SECONDS)
         raise Refusal(503, "no_target", random.uniform(0.1, 0.4))
 
     def _may_be_new(self, req, customer) -> bool:
@@ -162,7 +164,7 @@
             return False
         return not self._budgets.knows(customer, turn.program)
 
-    async def _check_entry(self, req, customer, service, homes):
+    async def _check_program_entry(self, req, customer, service, homes):
         """Refuse a new program where targets have no place for it.
 
         Turned away, a program under way would be lost with all that was spent on it.
@@ -171,13 +173,13 @@
         try:
             program = program_key(customer, req.turn.program)
             await self._entry.check(
-                req.id, service, program, req.program_seconds, homes
+                req.id, service, program, req.program_seconds_left, homes
             )
         except Refusal:
             if not await self._budgets.has_account(customer, req.turn.program):
                 raise
 
-    async def _take_token(self, req, terms, expires_at, may_be_new, kind):
+    async def _acquire_rate_token(self, req, terms, expires_at, may_be_new, kind):
         """Count the request against its customer's rate; raises `Refusal`.
 
         A program that is refused its next call is lost with all that was spent on
@@ -188,8 +190,8 @@
             await self._rates.take(req.id, terms, 0.0)
             return
         left = expires_at - asyncio.get_running_loop().time()
-        wait = min(MAX_RATE_WAIT_SECONDS, left * RATE_WAIT_PART)
-        program = program_key(terms.name, turn.program)[:PROGRAM_KEY_CHARS]
+        wait = min(MAX_RATE_WAIT_SECONDS, left * RATE_WAIT_FRACTION)
+        program = program_key(terms.name, turn.program)[:PROGRAM_KEY_PREFIX_CHARS]
         await self._rates.take(req.id, terms, wait, program, may_be_new, kind)
 
     def _check_strikes(self, req, customer):
@@ -216,8 +218,10 @@
         One after the other they would take a second while the store is slow, and
         callers leave after little more.
         """
-        reading = asyncio.create_task(self._whole_input(req, route, customer, homes))
-        reserving = asyncio.create_task(self._reserve(req, route, customer))
+        reading = asyncio.create_task(
+            self._input_with_history(req, route, customer, homes)
+        )
+        reserving = asyncio.create_task(self._reserve_tokens(req, route, customer))
         try:
             await asyncio.gather(reading, reserving)
         except BaseException:
@@ -234,7 +238,7 @@
             raise
         return reading.result(), reserving.result()
 
-    async def _whole_input(self, req, route, customer, homes):
+    async def _input_with_history(self, req, route, customer, homes):
         """Return what the target is to read: the history, then the new input."""
         if not (route.keeps_turns and req.turn.previous):
             return req.body
@@ -243,22 +247,22 @@
         )
         return history + req.body
 
-    async def _reserve(self, req, route, customer):
+    async def _reserve_tokens(self, req, route, customer):
         turn = req.turn
         if not (turn.program and turn.budget_tokens):
             return None
         if route.kind is not RequestKind.STREAMING:
             return None
         return await self._budgets.reserve(
-            req.id, customer, turn.program, turn.budget_tokens, turn.most_tokens
+            req.id, customer, turn.program, turn.budget_tokens, turn.max_tokens
         )
 
 
-def _kind_of(route) -> str:
+def _program_kind(route) -> str:
     """Return the kind of a program by one of its requests; empty for a call."""
     return route.name if route.kind is RequestKind.STREAMING else ""
 
 
-def _homes_of(route, terms) -> Homes:
+def _allowed_regions(route, terms) -> Homes:
     """Return the regions to which route and customer bind a request."""
     return common_homes(route.regions, terms.regions if terms else frozenset())
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_answer_relay.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_answer_relay.py
@@ -9,18 +9,18 @@
 from swifttide_daemon.gateway._metrics import GatewayMetrics
 from swifttide_daemon.gateway.callers._dialect import Dialect
 from swifttide_daemon.gateway.callers._event_reader import EventReader
-from swifttide_daemon.gateway.callers._job import age_of
+from swifttide_daemon.gateway.callers._job import request_age_seconds
 from swifttide_daemon.gateway.callers._refusal import Refusal
 from swifttide_daemon.gateway.targets._target_answer import MayHaveRun, TargetFailure
 from swifttide_daemon.gateway.targets._target_client import PROMISES, TargetExchange
 from swifttide_daemon.gateway.turns._turn_keeper import TurnKeeper
 from swifttide_daemon.telemetry import EventLog
 
-KEEP_SECONDS = 1.8
+MAX_TURN_STORE_SECONDS = 1.8
 """Longest time that a turn's end waits for the store: callers leave after two seconds
 without an event, and then send the turn again."""
 
-KEEP_RETRY_SECONDS = 0.2
+TURN_STORE_RETRY_SECONDS = 0.2
 """Pause between tries to store a turn while the store is away."""
 
 
@@ -55,11 +55,11 @@
         self._metrics = metrics
         self._log = log
 
-    async def pass_on(self, job, progress, exchange: TargetExchange):
+    async def relay(self, job, progress, exchange: TargetExchange):
         head = exchange.head
         is_stream = job.route.kind is RequestKind.STREAMING and head.status == 200
         if is_stream:
-            await self._pass_on_events(job, progress, exchange)
+            await self._relay_events(job, progress, exchange)
             return
         if progress.n_events or job.channel.started:
             exchange.cancel()
@@ -68,11 +68,11 @@
         if head.status in PROMISES:
             # Without its promise: the target may have run the request after all.
             raise TargetFailure(MayHaveRun(f"answered {head.status}"))
-        progress.first_seconds = age_of(job.req)
+        progress.first_seconds = request_age_seconds(job.req)
         await job.channel.answer(head.status, self._dialect.answer_fields(head), body)
         self._log_served(job, progress, exchange.target, head.status)
 
-    async def _pass_on_events(self, job, progress, exchange):
+    async def _relay_events(self, job, progress, exchange):
         head = exchange.head
         if not job.channel.started:
             fields = self._dialect.answer_fields(head)
@@ -80,40 +80,46 @@
         reader = EventReader()
         resumes = progress.n_events > 0
         while (piece := await exchange.read_piece()) is not None:
-            for event in self._whole_events(reader, piece, exchange):
+            for event in self._parse_events(reader, piece, exchange):
                 if resumes:
-                    _check_place(progress, event)
-                await self._pass_on_event(job, progress, event)
+                    _check_resume_position(progress, event)
+                await self._relay_event(job, progress, event)
         if reader.within_event:
             raise TargetFailure(MayHaveRun("ended within an event"))
-        await self._keep_turn(job, progress)
+        await self._store_turn(job, progress)
         await job.channel.finish()
         self._log_served(job, progress, exchange.target, head.status)
 
-    def _whole_events(self, reader, piece, exchange):
+    def _parse_events(self, reader, piece, exchange):
         try:
             return reader.feed(piece)
         except ValueError as exc:
             exchange.cancel()
             raise TargetFailure(MayHaveRun(str(exc))) from exc
 
-    async def _pass_on_event(self, job, progress, event):
+    async def _relay_event(self, job, progress, event):
         if event.id is not None:
-            if progress.last_id is not None and event.id <= progress.last_id:
+            if (
+                progress.last_event_id is not None
+                and event.id <= progress.last_event_id
+            ):
                 # Passed on before the stream was resumed.
                 return
-            if progress.last_id is not None and event.id != progress.last_id + 1:
-                progress.numbered_one_by_one = False
-            progress.last_id = event.id
-        self._check_tokens(job, progress)
+            if (
+                progress.last_event_id is not None
+                and event.id != progress.last_event_id + 1
+            ):
+                progress.event_ids_consecutive = False
+            progress.last_event_id = event.id
+        self._check_token_limit(job, progress)
         progress.n_events += 1
         if progress.n_events == 1:
-            progress.first_seconds = age_of(job.req)
+            progress.first_seconds = request_age_seconds(job.req)
         if job.route.keeps_turns and event.has_data:
-            progress.output.append(event.data + b"\n")
+            progress.output_chunks.append(event.data + b"\n")
         await job.channel.write(event.raw)
 
-    def _check_tokens(self, job, progress):
+    def _check_token_limit(self, job, progress):
         """Break off a turn whose tokens are used up.
 
         While the store is away fewer are set aside than it may generate.
@@ -124,7 +130,7 @@
         if (progress.n_events + 1) * job.service.tokens_per_event > reserved.most:
             raise Refusal(502, "tokens_used_up_in_outage")
 
-    async def _keep_turn(self, job, progress):
+    async def _store_turn(self, job, progress):
         """Store the turn before its answer ends.
 
         From the end of its answer on a caller may name the turn, at any host. Stored
@@ -132,9 +138,9 @@
         """
         if not job.route.keeps_turns:
             return
-        transcript = job.body + b"".join(progress.output)
+        transcript = job.body + b"".join(progress.output_chunks)
         loop = asyncio.get_running_loop()
-        until = loop.time() + KEEP_SECONDS
+        until = loop.time() + MAX_TURN_STORE_SECONDS
         keep = functools.partial(
             self._turns.keep,
             job.customer,
@@ -146,14 +152,14 @@
         while not await keep():
             if self._elsewhere_after() is not None or loop.time() > until:
                 raise Refusal(502, "turn_not_stored")
-            await asyncio.sleep(KEEP_RETRY_SECONDS)
+            await asyncio.sleep(TURN_STORE_RETRY_SECONDS)
 
     def _log_served(self, job, progress, target, status):
         self._metrics.answered(status, "served")
         self._metrics.hop("rate", progress.rate_seconds)
         self._metrics.hop("admission", progress.sent_seconds - progress.rate_seconds)
         self._metrics.hop("target", progress.first_seconds - progress.sent_seconds)
-        self._metrics.hop("whole", age_of(job.req))
+        self._metrics.hop("whole", request_age_seconds(job.req))
         self._log.info(
             "request_served",
             request_id=job.req.id,
@@ -164,22 +170,22 @@
             first_turn=job.req.turn.is_first,
             status=status,
             n_events=progress.n_events,
-            n_sent=len(progress.sent),
+            n_sent=len(progress.sent_target_ids),
             rate_seconds=round(progress.rate_seconds, 4),
             sent_seconds=round(progress.sent_seconds, 4),
             first_seconds=round(progress.first_seconds, 4),
-            seconds=round(age_of(job.req), 4),
+            seconds=round(request_age_seconds(job.req), 4),
             config_version=self._beliefs.config.version,
         )
 
 
-def _check_place(progress, event):
+def _check_resume_position(progress, event):
     """Refuse a stream that goes on too far behind its place.
 
     A target that has lost its place would leave events out, and the caller could not
     tell: the answer would come to its end as if it were whole.
     """
-    if event.id is None or progress.last_id is None:
+    if event.id is None or progress.last_event_id is None:
         return
-    if progress.numbered_one_by_one and event.id > progress.last_id + 1:
+    if progress.event_ids_consecutive and event.id > progress.last_event_id + 1:
         raise TargetFailure(MayHaveRun("a stream that goes on beyond its place"))
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_caller_channel.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_caller_channel.py
@@ -13,17 +13,17 @@
     ----------
     http : h11.Connection
     writer : asyncio.StreamWriter
-    may_keep : callable
+    may_keep_alive : callable
         Tells whether the connection may be used again afterwards.
     """
 
-    def __init__(self, http, writer, may_keep):
+    def __init__(self, http, writer, may_keep_alive):
         self._http = http
         self._writer = writer
-        self._may_keep = may_keep
+        self._may_keep_alive = may_keep_alive
         self.started = False
         self.finished = False
-        self.broken = False
+        self.aborted = False
 
     async def start(
         self, status: int, fields: list[tuple[bytes, bytes]], length: int | None
@@ -43,7 +43,7 @@
             fields.append((b"Content-Length", str(length).encode()))
         elif status not in (204, 304):
             fields.append((b"Transfer-Encoding", b"chunked"))
-        if not self._may_keep():
+        if not self._may_keep_alive():
             fields.append((b"Connection", b"close"))
         head = h11.Response(status_code=status, headers=fields)
         self.started = True
@@ -70,9 +70,9 @@
             await self.write(body)
         await self.finish()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End an answer that isn't complete, so that the caller sees it."""
-        self.broken = True
+        self.aborted = True
         self._writer.transport.abort()
 
     async def _drain(self):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_caller_request.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_caller_request.py
@@ -13,20 +13,20 @@
     ----------
     program : str
         Id of the program, unique for its customer.
-    line : str
+    branch : str
         Id of the line of turns that it belongs to.
     budget_tokens : int
         Tokens that all turns of the program may generate; 0 for no limit.
-    most_tokens : int
+    max_tokens : int
         Most tokens that this turn generates.
     previous : str
         Id of the turn that it goes on from; empty at the start of a chain.
     """
 
     program: str = ""
-    line: str = ""
+    branch: str = ""
     budget_tokens: int = 0
-    most_tokens: int = 0
+    max_tokens: int = 0
     previous: str = ""
 
     @property
@@ -51,11 +51,11 @@
     fields : tuple
         All header fields.
     body : bytes
-    key : str
+    api_key : str
         Key that the caller presented; empty without one.
-    patience_seconds : float or None
+    timeout_seconds : float or None
         How long the caller waits; None when it didn't say.
-    program_seconds : float or None
+    program_seconds_left : float or None
         Time left until the program should be finished.
     subject : str
         What the request concerns, for targets with a cache.
@@ -75,9 +75,9 @@
     fields: Fields
     body: bytes
     received_at: float
-    key: str = ""
-    patience_seconds: float | None = None
-    program_seconds: float | None = None
+    api_key: str = ""
+    timeout_seconds: float | None = None
+    program_seconds_left: float | None = None
     subject: str = ""
     prompt_tokens: int = 0
     turn: TurnTerms = TurnTerms()
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_event_reader.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_event_reader.py
@@ -32,12 +32,12 @@
     """Collects the pieces of a stream and returns whole events."""
 
     def __init__(self):
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def within_event(self) -> bool:
         """Whether the stream stands in the middle of an event."""
-        return bool(self._rest)
+        return bool(self._buffer)
 
     def feed(self, piece: bytes) -> list[StreamEvent]:
         """Take in a piece; return the events that it completes.
@@ -47,12 +47,12 @@
         ValueError
             An event is longer than `MAX_EVENT_BYTES`.
         """
-        self._rest += piece
+        self._buffer += piece
         events = []
-        while (end := _end_of_event(self._rest)) > 0:
-            events.append(_parse(self._rest[:end]))
-            self._rest = self._rest[end:]
-        if len(self._rest) > MAX_EVENT_BYTES:
+        while (end := _end_of_event(self._buffer)) > 0:
+            events.append(_parse(self._buffer[:end]))
+            self._buffer = self._buffer[end:]
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise ValueError(f"an event of over {MAX_EVENT_BYTES} bytes")
         return events
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
@@ -20,7 +20,7 @@
 from swifttide_daemon.gateway.callers._caller_channel import CallerChannel
 from swifttide_daemon.gateway.callers._caller_request import CallerRequest
 from swifttide_daemon.gateway.callers._dialect import Dialect
-from swifttide_daemon.gateway.callers._job import Progress, age_of
+from swifttide_daemon.gateway.callers._job import Progress, request_age_seconds
 from swifttide_daemon.gateway.callers._refusal import Refusal
 from swifttide_daemon.gateway.peers._fleet import Fleet
 from swifttide_daemon.gateway.targets._order_keeper import OrderKeeper, Place
@@ -37,15 +37,15 @@
 from swifttide_daemon.gateway.turns._line_places import LinePlaces
 from swifttide_daemon.telemetry import EventLog
 
-MAX_SENDS = 5
+MAX_SEND_ATTEMPTS = 5
 """Targets asked for one request, those that refused it unrun included."""
 
 
-PACE_WAIT_PART = 0.3
+PACING_WAIT_FRACTION = 0.3
 """Part of a request's time in which it waits for targets that have had enough."""
 
-MIN_PACE_RETRY_SECONDS = 0.1
-MAX_PACE_RETRY_SECONDS = 2.0
+MIN_PACING_RETRY_SECONDS = 0.1
+MAX_PACING_RETRY_SECONDS = 2.0
 """When to come back after that: from a few turns to most of a target's cold time."""
 
 
@@ -137,7 +137,7 @@
         )
         self._metrics.answered(refusal.status, refusal.reason.partition(":")[0])
         if channel.started:
-            channel.break_off()
+            channel.abort()
             return
         fields = self._dialect.refusal_fields(req.id, retry_after)
         await channel.answer(refusal.status, fields, refusal.reason.encode())
@@ -146,19 +146,19 @@
         progress = Progress()
         job = await self._admission.admit(req, channel, progress)
         try:
-            await self._run_in_time(job, progress)
+            await self._run_with_deadline(job, progress)
         except Refusal:
-            if not progress.sent:
-                self._admission.take_back(job)
+            if not progress.sent_target_ids:
+                self._admission.refund_unsent(job)
             raise
 
-    async def _run_in_time(self, job, progress):
+    async def _run_with_deadline(self, job, progress):
         """Run a job; end it with an answer when its time is up."""
         try:
             async with asyncio.timeout_at(job.expires_at):
                 await self._run(job, progress)
         except TimeoutError:
-            if not progress.sent:
+            if not progress.sent_target_ids:
                 raise Refusal(503, "no_target_in_time", 0.2) from None
             raise Refusal(504, "target_too_slow") from None
         finally:
@@ -168,14 +168,14 @@
         """Send a job to targets until one answers it."""
         tried: set[str] = set()
         reason = "no_target"
-        for _ in range(MAX_SENDS):
+        for _ in range(MAX_SEND_ATTEMPTS):
             target, place = await self._find_target(job, tried, progress)
             if target is None:
                 break
-            n_before = len(progress.sent)
+            n_before = len(progress.sent_target_ids)
             is_whole = False
             try:
-                await self._run_at(job, progress, target)
+                await self._send_to(job, progress, target)
                 is_whole = True
                 return
             except TargetFailure as failure:
@@ -184,14 +184,14 @@
                 match failure.outcome:
                     case NotRun():
                         tried.add(target.id)
-                        del progress.sent[n_before:]
+                        del progress.sent_target_ids[n_before:]
                     case MayHaveRun():
                         if not job.may_repeat(progress):
                             break
             finally:
                 if place is not None:
-                    self._order.left(place, progress.wait_seconds, is_whole)
-        if progress.sent:
+                    self._order.left(place, progress.first_event_wait_seconds, is_whole)
+        if progress.sent_target_ids:
             raise Refusal(502, reason)
         raise Refusal(503, reason, random.uniform(0.1, 0.4))
 
@@ -218,12 +218,12 @@
         Waits while all targets have had what they may get in this second.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + (job.expires_at - loop.time()) * PACE_WAIT_PART
+        until = loop.time() + (job.expires_at - loop.time()) * PACING_WAIT_FRACTION
         while True:
-            place = await self._ask_place(job, tried, progress)
+            place = await self._request_placement(job, tried, progress)
             if isinstance(place, Place):
                 return place.target, place
-            found = self._choose(job, tried, progress.sent)
+            found = self._choose(job, tried, progress.sent_target_ids)
             match found:
                 case PlaceLater(seconds):
                     if isinstance(place, PlaceLater):
@@ -236,19 +236,21 @@
                     return found, None
 
     def _refuse_paced(self, progress, seconds):
-        if progress.sent:
+        if progress.sent_target_ids:
             raise Refusal(502, "targets_cold")
-        retry_after = min(seconds, MAX_PACE_RETRY_SECONDS)
-        raise Refusal(503, "targets_cold", max(retry_after, MIN_PACE_RETRY_SECONDS))
+        retry_after = min(seconds, MAX_PACING_RETRY_SECONDS)
+        raise Refusal(503, "targets_cold", max(retry_after, MIN_PACING_RETRY_SECONDS))
 
-    async def _ask_place(self, job, tried, progress) -> Place | PlaceLater | None:
+    async def _request_placement(
+        self, job, tried, progress
+    ) -> Place | PlaceLater | None:
         """Ask the order where a turn goes, or a call whose targets may be cold.
 
         One that may have run somewhere goes where that allows, whatever the order.
         """
         is_ordered = job.route.kind is RequestKind.STREAMING
         is_ordered = is_ordered or self._beliefs.cold.terms(job.service).binds
-        if not is_ordered or progress.sent:
+        if not is_ordered or progress.sent_target_ids:
             return None
         req = job.req
         place = await self._order.place(
@@ -259,14 +261,14 @@
             job.expires_at - asyncio.get_running_loop().time(),
             frozenset(tried),
             job.homes,
-            self._connected(job),
+            self._connected_target_ids(job),
         )
         if isinstance(place, Place) and not self._health.usable(place.target.id):
             self._order.left(place, None)
             return None
         return place
 
-    def _connected(self, job) -> list[str]:
+    def _connected_target_ids(self, job) -> list[str]:
         targets = self._beliefs.targets_of(job.service.name, job.homes)
         return [t.id for t in targets if self._client.is_connected(t)]
 
@@ -301,7 +303,7 @@
         outstanding = self._health.outstanding(target.id)
         return Candidate(target, outstanding, self._client.is_connected(target))
 
-    async def _run_at(self, job, progress, target):
+    async def _send_to(self, job, progress, target):
         loop = asyncio.get_running_loop()
         req = job.req
         fields = self._dialect.target_fields(
@@ -309,7 +311,7 @@
             job.customer,
             target.id,
             job.expires_at - loop.time(),
-            progress.last_id,
+            progress.last_event_id,
             len(job.body),
         )
         exchange = None
@@ -323,8 +325,8 @@
                 self._client.release(target, conn)
                 raise TargetFailure(NotRun("no longer takes new work"))
             # From here on nobody can say that it hasn't run.
-            progress.sent.append(target.id)
-            progress.sent_seconds = age_of(req)
+            progress.sent_target_ids.append(target.id)
+            progress.sent_seconds = request_age_seconds(req)
             exchange = await self._client.send(
                 conn,
                 target,
@@ -334,7 +336,7 @@
                 fields,
                 job.body,
             )
-            await self._relay.pass_on(job, progress, exchange)
+            await self._relay.relay(job, progress, exchange)
             self._health.answered(target.id)
             self._lines.served(job.customer, req, target.id)
             self._strikes.ran(job.fingerprint)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_frontend.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_frontend.py
@@ -22,24 +22,24 @@
 Handler = Callable[[CallerRequest, CallerChannel], Awaitable[None]]
 
 
-class WatchedProtocol(asyncio.StreamReaderProtocol):
+class DisconnectAwareProtocol(asyncio.StreamReaderProtocol):
     """Tells at once when the other end has closed, also while nobody reads."""
 
     def __init__(self, reader, client_connected):
         super().__init__(reader, client_connected)
-        self.gone = asyncio.get_running_loop().create_future()
+        self.disconnected = asyncio.get_running_loop().create_future()
 
     def eof_received(self):
-        self._note_gone()
+        self._mark_disconnected()
         return super().eof_received()
 
     def connection_lost(self, exc):
-        self._note_gone()
+        self._mark_disconnected()
         super().connection_lost(exc)
 
-    def _note_gone(self):
-        if not self.gone.done():
-            self.gone.set_result(None)
+    def _mark_disconnected(self):
+        if not self.disconnected.done():
+            self.disconnected.set_result(None)
 
 
 class Frontend:
@@ -50,7 +50,7 @@
     dialect : Dialect
     limits : callable
         Returns the limits in force.
-    may_keep : callable
+    may_keep_alive : callable
         Tells whether connections may be used again.
     handle : callable
         Answers one request.
@@ -61,19 +61,19 @@
         self,
         dialect: Dialect,
         limits: Callable[[], RequestLimits],
-        may_keep: Callable[[], bool],
+        may_keep_alive: Callable[[], bool],
         handle: Handler,
         log: EventLog,
     ):
         self._dialect = dialect
         self._limits = limits
-        self._may_keep = may_keep
+        self._may_keep_alive = may_keep_alive
         self._handle = handle
         self._log = log
         self._server = None
         self._busy: set[asyncio.Task] = set()
         self._connections: dict[asyncio.Task, asyncio.StreamWriter] = {}
-        self._buffered = 0
+        self._buffered_bytes = 0
         self.stopping = False
 
     async def listen(self, ip: str, port: int) -> int:
@@ -82,7 +82,7 @@
 
         def factory():
             reader = asyncio.StreamReader(limit=READ_BYTES, loop=loop)
-            return WatchedProtocol(reader, self._serve)
+            return DisconnectAwareProtocol(reader, self._serve)
 
         self._server = await loop.create_server(factory, ip, port, backlog=512)
         return self._server.sockets[0].getsockname()[1]
@@ -123,11 +123,11 @@
     """One caller's connection, straight down."""
 
     def __init__(self, front: Frontend, reader, writer, task):
-        self._front = front
+        self._frontend = front
         self._reader = reader
         self._writer = writer
         self._task = task
-        self._gone = writer.transport.get_protocol().gone
+        self._disconnected = writer.transport.get_protocol().disconnected
         limit = front._limits().max_header_bytes
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=limit)
 
@@ -137,23 +137,25 @@
                 head = await self._read_head()
                 if head is None:
                     return
-                self._front._busy.add(self._task)
+                self._frontend._busy.add(self._task)
                 body = await self._read_body(head)
                 req = self._decode(head, body)
             except Refusal as refusal:
                 await self._refuse(refusal)
                 return
-            channel = CallerChannel(self._http, self._writer, self._front._may_keep)
+            channel = CallerChannel(
+                self._http, self._writer, self._frontend._may_keep_alive
+            )
             try:
-                await self._until_gone(self._front._handle(req, channel))
+                await self._run_until_disconnect(self._frontend._handle(req, channel))
             finally:
-                self._front._buffered -= len(body)
-            self._front._busy.discard(self._task)
-            if not self._reset():
+                self._frontend._buffered_bytes -= len(body)
+            self._frontend._busy.discard(self._task)
+            if not self._start_next_request():
                 return
 
     async def _read_head(self):
-        limits = self._front._limits()
+        limits = self._frontend._limits()
         loop = asyncio.get_running_loop()
         deadline = loop.time() + limits.idle_seconds
         begun = False
@@ -179,7 +181,7 @@
             self._receive(data)
 
     async def _read_body(self, head):
-        limits = self._front._limits()
+        limits = self._frontend._limits()
         self._check_framing(head, limits)
         body = bytearray()
         loop = asyncio.get_running_loop()
@@ -194,7 +196,7 @@
                     body += event.data
                     self._check_size(len(body), limits)
                 case h11.EndOfMessage():
-                    self._front._buffered += len(body)
+                    self._frontend._buffered_bytes += len(body)
                     return bytes(body)
                 case h11.ConnectionClosed():
                     raise EOFError
@@ -225,7 +227,7 @@
     def _check_size(self, size, limits):
         if size > limits.max_body_bytes:
             raise Refusal(413, "body_too_large")
-        if self._front._buffered + size > MAX_BUFFERED_BYTES:
+        if self._frontend._buffered_bytes + size > MAX_BUFFERED_BYTES:
             raise Refusal(503, "host_full", 1.0)
 
     def _next_event(self):
@@ -246,26 +248,26 @@
         now = asyncio.get_running_loop().time()
         method = head.method.decode()
         try:
-            return self._front._dialect.read_request(
+            return self._frontend._dialect.read_request(
                 method, bytes(head.target), tuple(head.headers), body, now
             )
         except BadRequest as exc:
-            self._front._buffered -= len(body)
+            self._frontend._buffered_bytes -= len(body)
             raise Refusal(400, exc.detail) from exc
 
     async def _refuse(self, refusal):
         """Answer a request that couldn't be read, and close."""
-        self._front._log.info(
+        self._frontend._log.info(
             "request_unreadable", status=refusal.status, reason=refusal.reason
         )
         channel = CallerChannel(self._http, self._writer, lambda: False)
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        fields = self._front._dialect.refusal_fields("", refusal.retry_after)
+        fields = self._frontend._dialect.refusal_fields("", refusal.retry_after)
         await channel.answer(refusal.status, fields, refusal.reason.encode())
-        await self._close_gently()
+        await self._close_after_linger()
 
-    async def _close_gently(self):
+    async def _close_after_linger(self):
         """Let the caller read the answer before the connection goes.
 
         Closing with unread bytes resets the connection, and the reset can overtake
@@ -280,14 +282,16 @@
         except (TimeoutError, OSError):
             return
 
-    async def _until_gone(self, handling):
+    async def _run_until_disconnect(self, handling):
         """Run a handler until it is done or the caller has left.
 
         What nobody waits for any longer would still take the places of others.
         """
         task = asyncio.ensure_future(handling)
         try:
-            await asyncio.wait((task, self._gone), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                (task, self._disconnected), return_when=asyncio.FIRST_COMPLETED
+            )
             if not task.done():
                 task.cancel("caller gone")
             await asyncio.wait((task,))
@@ -296,10 +300,10 @@
         if not task.cancelled() and task.exception() is not None:
             raise task.exception()
 
-    def _reset(self):
+    def _start_next_request(self):
         """Make ready for the next request; return whether there may be one."""
         http = self._http
-        if self._gone.done() or self._writer.is_closing():
+        if self._disconnected.done() or self._writer.is_closing():
             return False
         if http.our_state is h11.DONE and http.their_state is h11.DONE:
             http.start_next_cycle()
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_job.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_job.py
@@ -55,7 +55,7 @@
         A stream without numbered events has no place at which to go on.
         """
         if progress.n_events:
-            return self.route.resumable and progress.last_id is not None
+            return self.route.resumable and progress.last_event_id is not None
         return self.route.repeatable or self.route.resumable
 
 
@@ -63,13 +63,13 @@
     """What has become of a job so far."""
 
     def __init__(self):
-        self.sent: list[str] = []
+        self.sent_target_ids: list[str] = []
         """Targets that may have run the request."""
-        self.last_id: int | None = None
-        self.numbered_one_by_one = True
+        self.last_event_id: int | None = None
+        self.event_ids_consecutive = True
         """Whether each event's number followed the one before."""
         self.n_events = 0
-        self.output: list[bytes] = []
+        self.output_chunks: list[bytes] = []
         self.rate_seconds = 0.0
         """Age of the request when its customer's rate let it in."""
         self.target_load = 0.0
@@ -80,13 +80,13 @@
         """Age of the request at the first event or the whole answer."""
 
     @property
-    def wait_seconds(self) -> float | None:
+    def first_event_wait_seconds(self) -> float | None:
         """Seconds from sending to the first event; None if there was none."""
         if not self.n_events:
             return None
         return max(0.0, self.first_seconds - self.sent_seconds)
 
 
-def age_of(req: CallerRequest) -> float:
+def request_age_seconds(req: CallerRequest) -> float:
     """Return the seconds since a request had been read."""
     return asyncio.get_running_loop().time() - req.received_at
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_program_entry.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_program_entry.py
@@ -38,7 +38,7 @@
         self._log = log
         self._gates: dict[str, ProgramGate] = {}
 
-    def look(self, service: ServiceSpec) -> None:
+    def observe_load(self, service: ServiceSpec) -> None:
         """Follow how full a service's targets are."""
         gate = self._gate(service)
         now = asyncio.get_running_loop().time()
@@ -84,7 +84,7 @@
                 )
                 raise Refusal(503, "targets_full", retry_seconds)
 
-    def least_share(self) -> float:
+    def min_admitted_fraction(self) -> float:
         """Return the part of new programs let in at the service that is fullest."""
         return min((gate.share for gate in self._gates.values()), default=1.0)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload.py
@@ -391,8 +391,8 @@
             (),
             b"",
             asyncio.get_running_loop().time(),
-            patience_seconds=left,
-            program_seconds=left - AIM_SECONDS,
+            timeout_seconds=left,
+            program_seconds_left=left - AIM_SECONDS,
             turn=turn,
         )
         handling = asyncio.create_task(host.forwarder.handle(req, channel))
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload_engines.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload_engines.py
@@ -128,5 +128,5 @@
         text = dict(fields).get(b"retry", b"None")
         self.retry_after = None if text == b"None" else float(text)
 
-    def break_off(self):
+    def abort(self):
         self.is_whole = False
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_line_places.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_line_places.py
@@ -13,10 +13,10 @@
         host="h",
         fields=(),
         body=b"",
-        key="",
+        api_key="",
         received_at=0.0,
         prompt_tokens=prompt_tokens,
-        turn=TurnTerms(program="p", line=line),
+        turn=TurnTerms(program="p", branch=line),
     )
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_line_places.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_line_places.py
@@ -24,7 +24,7 @@
 
     def served(self, customer: str, req: CallerRequest, target_id: str) -> None:
         """Note where a request was served; only turns leave a prompt there."""
-        if not (req.turn.line and req.prompt_tokens):
+        if not (req.turn.branch and req.prompt_tokens):
             return
         place = _place(customer, req)
         self._targets[place] = target_id
@@ -38,4 +38,4 @@
 
 
 def _place(customer, req) -> tuple[str, str, str]:
-    return customer, req.turn.program, req.turn.line
+    return customer, req.turn.program, req.turn.branch
--- a/packages/swifttide_daemon/src/swifttide_daemon/platform/tests/test_dialect.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/platform/tests/test_dialect.py
@@ -24,9 +24,9 @@
             (b"swifttide-deadline-ms", b"4000"),
             (b"authorization", b"Bearer k1"),
         )
-        assert (req.host, req.path, req.key) == ("shop.example", "/x", "k1")
-        assert req.patience_seconds == 4.0
-        assert (req.turn.budget_tokens, req.turn.most_tokens) == (858, 286)
+        assert (req.host, req.path, req.api_key) == ("shop.example", "/x", "k1")
+        assert req.timeout_seconds == 4.0
+        assert (req.turn.budget_tokens, req.turn.max_tokens) == (858, 286)
         assert (req.turn.previous, req.subject) == ("t0", "s")
 
     @pytest.mark.parametrize(
