--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/__init__.py
@@ -1,1 +1,1 @@
-"""A caller's request, from its first byte to the end of its answer."""
+"""Handles callers' HTTP requests, from the first byte to the end of the response."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
@@ -1,4 +1,10 @@
-"""Letting requests in."""
+"""Decides whether a caller's request is admitted, and gathers what it needs to run.
+
+The decision uses the routes, customers and targets in force, the fingerprints of
+requests that crashed targets, the load of the targets, the customer's rate limit and
+the token budget of the program. An admitted request becomes a `Job`; any other one is
+answered with a `Refusal`.
+"""
 
 import asyncio
 import random
@@ -25,39 +31,48 @@
 from swifttide_daemon.gateway.turns._turn_keeper import TurnKeeper
 
 MAX_RATE_WAIT_SECONDS = 1.5
-"""Longest wait for a customer's rate: a turn of a program is sent again twice, and
-what waited longer would mostly be late."""
+"""Longest time that a request waits for its customer's rate limiter. Callers retry a
+turn of a program twice; a request that waited longer would mostly miss its deadline."""
 
 RATE_WAIT_FRACTION = 0.5
-"""Part of a request's time that it may spend waiting for its customer's rate; the rest
-is for the work."""
+"""Fraction of the time left to a request that it may wait for its customer's rate
+limiter. The rest is left for running it."""
 
 STORE_RETRY_SECONDS = 0.5
-"""When to come back to a store that didn't answer within the request's time."""
+"""Retry delay sent to the caller when the store didn't answer before the request's
+deadline."""
 
 ZONES_EMPTIED_RETRY_SECONDS = 1.0
-"""When to come back while all zones with targets of a service are emptied: an operator
-takes one back within seconds at the earliest."""
+"""Retry delay sent to the caller when no target is available because operators have
+emptied zones, or because none is in the regions allowed for the request. It takes an
+operator seconds at least to put an emptied zone back into service."""
 
 PROGRAM_KEY_PREFIX_CHARS = 12
-"""Of a program's key in questions about rates: enough for the programs of a customer
-that are under way at once."""
+"""Characters of a program's key that identify it to the rate limiter. They are enough
+to tell apart the programs of one customer that run at the same time."""
 
 DEFAULT_REQUEST_TIMEOUT_SECONDS = 60.0
-"""For a request whose caller and route name no time."""
+"""Time limit of a request whose caller states none. The route's time-out also
+applies."""
 
 
 class Admission:
-    """Decides whether a request is let in, and finds what it needs to run.
+    """Decides whether a request is admitted, and gathers what it needs to run.
 
     Parameters
     ----------
     beliefs : Beliefs
+        Configuration and targets as this host knows them.
     budgets : BudgetKeeper
+        Token budgets of programs.
     turns : TurnKeeper
+        Stored transcripts of earlier turns.
     rates : RateKeeper
+        Rate limits of customers.
     strikes : StrikeKeeper
+        Fingerprints of requests that crashed targets.
     entry : ProgramEntry
+        Admission of new programs by the load of the targets.
     """
 
     def __init__(
@@ -79,7 +94,26 @@
     async def admit(
         self, req: CallerRequest, channel: CallerChannel, progress: Progress
     ) -> Job:
-        """Let a request in; raises `Refusal`."""
+        """Admit a request.
+
+        Parameters
+        ----------
+        req : CallerRequest
+        channel : CallerChannel
+            Writes the response to the caller.
+        progress : Progress
+            Receives the time at which the rate limiter passed the request.
+
+        Returns
+        -------
+        Job
+
+        Raises
+        ------
+        Refusal
+            The request isn't admitted. A rate token that it took has been refunded,
+            and tokens that it reserved have been released.
+        """
         route, terms = self._resolve_route(req)
         timeout = req.timeout_seconds or DEFAULT_REQUEST_TIMEOUT_SECONDS
         expires_at = req.received_at + min(timeout, route.timeout_seconds)
@@ -121,11 +155,11 @@
         )
 
     def refund_unsent(self, job: Job) -> None:
-        """Undo what a job that was sent to no target has used up."""
+        """Refund the rate token of a job that was sent to no target."""
         self._refund(job.terms)
 
     def settle(self, job: Job, progress: Progress) -> None:
-        """Return the tokens that a turn didn't generate."""
+        """Release the reserved tokens that a turn didn't generate."""
         if job.reservation is not None:
             used = progress.n_events * job.service.tokens_per_event
             self._budgets.settle(job.reservation, used)
@@ -135,7 +169,7 @@
             self._rates.refund(terms)
 
     def _resolve_route(self, req) -> tuple[Route, CustomerTerms | None]:
-        """Find route and customer; raises `Refusal`."""
+        """Return the route and the customer of a request; raises `Refusal`."""
         cfg = self._beliefs.config
         if cfg is None or not self._beliefs.targets_known:
             raise Refusal(503, "starting", 0.5)
@@ -148,7 +182,7 @@
         return route, terms
 
     def _check_targets(self, service, homes):
-        """Refuse a request at once that no target may run, before it costs anything."""
+        """Refuse a request that no target may run, before it uses rate or budget."""
         if self._beliefs.targets_of(service.name, homes):
             return
         if homes is not None and self._beliefs.targets_of(service.name):
@@ -158,17 +192,18 @@
         raise Refusal(503, "no_target", random.uniform(0.1, 0.4))
 
     def _may_be_new(self, req, customer) -> bool:
-        """Whether a request may be the first of its program."""
+        """Return whether this host can't rule out that a request starts its program."""
         turn = req.turn
         if not turn.program or not turn.budget_tokens or turn.previous:
             return False
         return not self._budgets.knows(customer, turn.program)
 
     async def _check_program_entry(self, req, customer, service, homes):
-        """Refuse a new program where targets have no place for it.
+        """Refuse a new program while the targets have no capacity for it.
 
-        Turned away, a program under way would be lost with all that was spent on it.
-        After a loss of hosts nobody remembers it: its row tells.
+        A program that has already run must not be refused here: all that was spent on
+        it would be lost. After hosts are lost no host may remember the program, so its
+        budget account in the store decides whether it is new.
         """
         try:
             program = program_key(customer, req.turn.program)
@@ -180,10 +215,12 @@
                 raise
 
     async def _acquire_rate_token(self, req, terms, expires_at, may_be_new, kind):
-        """Count the request against its customer's rate; raises `Refusal`.
+        """Count the request against its customer's rate limit; raises `Refusal`.
 
-        A program that is refused its next call is lost with all that was spent on
-        it; a new one has cost nothing yet.
+        Requests of programs may wait, and the rate limiter is told whether the program
+        may be new: a running program whose next request is refused is lost with all
+        that was spent on it, while a new one has cost nothing yet. Requests outside of
+        programs don't wait.
         """
         turn = req.turn
         if not turn.program:
@@ -195,7 +232,7 @@
         await self._rates.take(req.id, terms, wait, program, may_be_new, kind)
 
     def _check_strikes(self, req, customer):
-        """Refuse a request that crashes whatever runs it; return its fingerprint."""
+        """Return the request's fingerprint; raises `Refusal` if it crashes targets."""
         kind = f"{customer} {req.method} {req.path}"
         fingerprint = fingerprint_of(req.body, kind)
         match self._strikes.standing(fingerprint):
@@ -213,10 +250,11 @@
     async def _prepare(
         self, req, route, customer, homes
     ) -> tuple[bytes, Reservation | None]:
-        """Read the history and reserve tokens at the same time.
+        """Read the history and reserve tokens concurrently.
 
         One after the other they would take a second while the store is slow, and
-        callers leave after little more.
+        callers disconnect after little more than that. If either fails, the other is
+        cancelled, and tokens that were reserved are released.
         """
         reading = asyncio.create_task(
             self._input_with_history(req, route, customer, homes)
@@ -233,13 +271,13 @@
                 if reservation is not None:
                     self._budgets.settle(reservation, 0)
             if not reading.cancelled():
-                # Retrieved here, or it would be logged as lost.
+                # Marks the exception as retrieved; asyncio would log it otherwise.
                 reading.exception()
             raise
         return reading.result(), reserving.result()
 
     async def _input_with_history(self, req, route, customer, homes):
-        """Return what the target is to read: the history, then the new input."""
+        """Return the body for the target: the stored transcript, then the new input."""
         if not (route.keeps_turns and req.turn.previous):
             return req.body
         history = await self._turns.transcript(
@@ -259,10 +297,13 @@
 
 
 def _program_kind(route) -> str:
-    """Return the kind of a program by one of its requests; empty for a call."""
+    """Return the route's name as the kind of a program.
+
+    Empty for requests that aren't streams, such as calls of tools.
+    """
     return route.name if route.kind is RequestKind.STREAMING else ""
 
 
 def _allowed_regions(route, terms) -> Homes:
-    """Return the regions to which route and customer bind a request."""
+    """Return the regions that both route and customer allow; None for any region."""
     return common_homes(route.regions, terms.regions if terms else frozenset())
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_answer_relay.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_answer_relay.py
@@ -1,4 +1,9 @@
-"""Passing a target's answer on to its caller."""
+"""Relays a target's response to its caller.
+
+A stream is relayed event by event. When it is resumed at another target, events that
+the caller already has are skipped, and a gap in the event ids fails the attempt. The
+transcript of a turn is stored before its stream ends.
+"""
 
 import asyncio
 import functools
@@ -17,24 +22,27 @@
 from swifttide_daemon.telemetry import EventLog
 
 MAX_TURN_STORE_SECONDS = 1.8
-"""Longest time that a turn's end waits for the store: callers leave after two seconds
-without an event, and then send the turn again."""
+"""Longest time that the end of a stream is held back until its turn is stored. Callers
+disconnect after two seconds without an event, and then send the turn again."""
 
 TURN_STORE_RETRY_SECONDS = 0.2
-"""Pause between tries to store a turn while the store is away."""
+"""Pause between attempts to store a turn while the store is unreachable."""
 
 
 class AnswerRelay:
-    """Passes answers on, event by event where they are streams.
+    """Relays targets' responses to callers, event by event where they are streams.
 
     Parameters
     ----------
     dialect : Dialect
+        Header fields of responses.
     turns : TurnKeeper
+        Stores the transcripts of turns.
     elsewhere_after : callable
-        Returns after how many seconds callers reach a host that isn't cut off from
-        the store and the other zones; None while this one isn't.
+        While this host is cut off from the store and the other zones, returns the
+        seconds until callers are routed to another host; otherwise returns None.
     beliefs : Beliefs
+        Provides the version of the configuration for the log.
     metrics : GatewayMetrics
     log : EventLog
     """
@@ -56,6 +64,23 @@
         self._log = log
 
     async def relay(self, job, progress, exchange: TargetExchange):
+        """Relay one response to its end.
+
+        Parameters
+        ----------
+        job : Job
+        progress : Progress
+            Updated with each event.
+        exchange : TargetExchange
+            Request to the target whose response head has been read.
+
+        Raises
+        ------
+        TargetFailure
+            The target's response can't be used; another attempt may follow.
+        Refusal
+            The request has failed for good.
+        """
         head = exchange.head
         is_stream = job.route.kind is RequestKind.STREAMING and head.status == 200
         if is_stream:
@@ -66,7 +91,8 @@
             raise TargetFailure(MayHaveRun(f"answered {head.status} to a resumption"))
         body = await exchange.read_body()
         if head.status in PROMISES:
-            # Without its promise: the target may have run the request after all.
+            # These statuses mean "not run" only with the header field that says so;
+            # without it the target may have run the request.
             raise TargetFailure(MayHaveRun(f"answered {head.status}"))
         progress.first_seconds = request_age_seconds(job.req)
         await job.channel.answer(head.status, self._dialect.answer_fields(head), body)
@@ -103,7 +129,7 @@
                 progress.last_event_id is not None
                 and event.id <= progress.last_event_id
             ):
-                # Passed on before the stream was resumed.
+                # Relayed before the stream was resumed.
                 return
             if (
                 progress.last_event_id is not None
@@ -120,9 +146,10 @@
         await job.channel.write(event.raw)
 
     def _check_token_limit(self, job, progress):
-        """Break off a turn whose tokens are used up.
+        """Fail a turn that would exceed its reserved tokens.
 
-        While the store is away fewer are set aside than it may generate.
+        While the store is unreachable, fewer tokens are reserved for a turn than it
+        may generate.
         """
         reserved = job.reservation
         if reserved is None or not reserved.is_cut:
@@ -131,10 +158,11 @@
             raise Refusal(502, "tokens_used_up_in_outage")
 
     async def _store_turn(self, job, progress):
-        """Store the turn before its answer ends.
+        """Store the turn's transcript before the end of its stream is sent.
 
-        From the end of its answer on a caller may name the turn, at any host. Stored
-        later, it would be unknown there, or lost with this host.
+        Once the stream has ended, the caller may continue from this turn at any host.
+        If the turn were stored later, it might be unknown there, or lost with this
+        host.
         """
         if not job.route.keeps_turns:
             return
@@ -180,10 +208,11 @@
 
 
 def _check_resume_position(progress, event):
-    """Refuse a stream that goes on too far behind its place.
+    """Fail a resumed stream whose next event id leaves a gap.
 
-    A target that has lost its place would leave events out, and the caller could not
-    tell: the answer would come to its end as if it were whole.
+    A target that resumes too late in the stream would omit events, and the caller
+    couldn't tell: the response would end as if it were complete. The check applies
+    only to streams whose ids have been consecutive so far.
     """
     if event.id is None or progress.last_event_id is None:
         return
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_caller_channel.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_caller_channel.py
@@ -1,20 +1,31 @@
-"""The way back to a caller, for one request."""
+"""Writes the HTTP response to one request of a caller."""
 
 import h11
 
 MAX_UNSENT_BYTES = 65_536
-"""Bytes that wait for a slow caller before its target is made to wait too."""
+"""Unsent bytes from which writes wait for a slow caller, which also stops reading from
+the target."""
 
 
 class CallerChannel:
-    """Writes one answer to a caller's connection.
+    """Writes one response to a caller's connection.
 
     Parameters
     ----------
     http : h11.Connection
+        HTTP/1.1 state of the connection.
     writer : asyncio.StreamWriter
     may_keep_alive : callable
-        Tells whether the connection may be used again afterwards.
+        Returns whether the connection may be reused for another request.
+
+    Attributes
+    ----------
+    started : bool
+        Whether the head of the response has been written.
+    finished : bool
+        Whether the whole response has been written.
+    aborted : bool
+        Whether the connection was closed before the response was complete.
     """
 
     def __init__(self, http, writer, may_keep_alive):
@@ -28,15 +39,15 @@
     async def start(
         self, status: int, fields: list[tuple[bytes, bytes]], length: int | None
     ) -> None:
-        """Send the head of the answer.
+        """Send the head of the response.
 
         Parameters
         ----------
         status : int
         fields : list of (bytes, bytes)
-            Without those that concern the connection.
+            Header fields, without those that concern the connection.
         length : int or None
-            Bytes of the body; None for a body in chunks.
+            Length of the body in bytes; None for chunked transfer coding.
         """
         fields = [f for f in fields if f[0].lower() != b"content-length"]
         if length is not None:
@@ -56,7 +67,7 @@
         await self._drain()
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """End the response as complete."""
         self._writer.write(self._http.send(h11.EndOfMessage()))
         self.finished = True
         await self._drain()
@@ -64,14 +75,14 @@
     async def answer(
         self, status: int, fields: list[tuple[bytes, bytes]], body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response with a body of known length."""
         await self.start(status, fields, len(body))
         if body:
             await self.write(body)
         await self.finish()
 
     def abort(self) -> None:
-        """End an answer that isn't complete, so that the caller sees it."""
+        """Abort the connection, which shows the caller an incomplete response."""
         self.aborted = True
         self._writer.transport.abort()
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_caller_request.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's request, decoded."""
+"""A caller's request with its header fields decoded."""
 
 from dataclasses import dataclass
 
@@ -7,20 +7,24 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnTerms:
-    """What a turn of a program asks for.
+    """What a caller states about a turn of a program.
+
+    A program is a sequence of requests by which a caller pursues one task. A turn is
+    one of its requests to a model; it may continue from the transcript of an earlier
+    turn, and several branches may continue from the same one.
 
     Parameters
     ----------
     program : str
-        Id of the program, unique for its customer.
+        Id of the program, unique within its customer; empty outside of programs.
     branch : str
-        Id of the line of turns that it belongs to.
+        Id of the branch of consecutive turns to which this turn belongs.
     budget_tokens : int
         Tokens that all turns of the program may generate; 0 for no limit.
     max_tokens : int
-        Most tokens that this turn generates.
+        Most tokens that this turn may generate.
     previous : str
-        Id of the turn that it goes on from; empty at the start of a chain.
+        Id of the turn that it continues; empty for the first turn of a branch.
     """
 
     program: str = ""
@@ -31,13 +35,17 @@
 
     @property
     def is_first(self) -> bool:
-        """Whether this may be the first turn of a line; unkept ones all may."""
+        """Whether this may be the first turn of a branch.
+
+        Callers whose turns the gateway doesn't store never name a previous turn, so
+        all of their turns count as possibly first.
+        """
         return self.budget_tokens > 0 and not self.previous
 
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """One attempt of a caller.
+    """One attempt of a caller at a request.
 
     Parameters
     ----------
@@ -45,27 +53,28 @@
         Id of the attempt; each attempt has its own.
     method : str
     target : bytes
-        Path and query as they came.
+        Path and query as received.
     host : str
-        Lower case, without a port.
+        Host name in lower case, without a port.
     fields : tuple
         All header fields.
     body : bytes
     api_key : str
-        Key that the caller presented; empty without one.
+        API key that the caller presented; empty without one.
     timeout_seconds : float or None
-        How long the caller waits; None when it didn't say.
+        How long the caller waits for the response; None if not stated.
     program_seconds_left : float or None
-        Time left until the program should be finished.
+        Seconds left until the program's deadline; None if not stated.
     subject : str
-        What the request concerns, for targets with a cache.
+        Subject of the request as the caller names it. Requests of one subject are
+        preferably sent to the same target, for its cache.
     prompt_tokens : int
-        Size of the prompt.
+        Length of the prompt in tokens; 0 for requests without a prompt.
     turn : TurnTerms
     last_event_id : int or None
-        Event after which a stream is to go on.
+        Id of the event after which a stream is to be resumed.
     received_at : float
-        Time of the event loop at which it had been read.
+        Time of the event loop, in seconds, at which the request was completely read.
     """
 
     id: str
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_dialect.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_dialect.py
@@ -1,4 +1,4 @@
-"""How header fields are spelled between callers, hosts and targets."""
+"""Interface that translates HTTP header fields from and to the gateway's types."""
 
 from typing import Protocol
 
@@ -8,12 +8,12 @@
 
 
 class BadRequest(Exception):
-    """A caller's request can't be understood.
+    """A caller's request can't be decoded.
 
     Parameters
     ----------
     detail : str
-        What is wrong, without the value.
+        What is wrong, without the offending value.
     """
 
     def __init__(self, detail: str):
@@ -22,7 +22,7 @@
 
 
 class Dialect(Protocol):
-    """Translates between the wire and the gateway's types."""
+    """Translates header fields of requests and responses from and to gateway types."""
 
     def read_request(
         self, method: str, target: bytes, fields: Fields, body: bytes, now: float
@@ -30,7 +30,7 @@
         """Decode a caller's request; raises `BadRequest`."""
 
     def read_answer(self, status: int, fields: Fields) -> AnswerHead:
-        """Decode the head of a target's answer."""
+        """Decode the head of a target's response."""
 
     def target_fields(
         self,
@@ -41,12 +41,26 @@
         resume_after: int | None,
         body_bytes: int,
     ) -> list[tuple[bytes, bytes]]:
-        """Return the header fields with which a request goes to a target."""
+        """Return the header fields of a request to a target.
+
+        Parameters
+        ----------
+        req : CallerRequest
+        customer : str
+            Name of the customer; empty without one.
+        target_id : str
+        seconds_left : float
+            Time until the request's deadline.
+        resume_after : int or None
+            Id of the last event that the caller has; None to start from the beginning.
+        body_bytes : int
+            Length of the body.
+        """
 
     def answer_fields(self, head: AnswerHead) -> list[tuple[bytes, bytes]]:
-        """Return the header fields with which an answer goes to the caller."""
+        """Return the header fields of a target's response as sent to the caller."""
 
     def refusal_fields(
         self, request_id: str, retry_after: float | None
     ) -> list[tuple[bytes, bytes]]:
-        """Return the header fields of an answer of our own."""
+        """Return the header fields of a refusal by the gateway itself."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_event_reader.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_event_reader.py
@@ -1,25 +1,25 @@
-"""Cutting a stream into its events."""
+"""Splits a server-sent event stream into events."""
 
 from dataclasses import dataclass
 
 MAX_EVENT_BYTES = 262_144
-"""A longer event is an error: it would be kept in memory until its end."""
+"""A longer event is an error, since an event is held in memory until its end."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event of a stream.
+    """One server-sent event.
 
     Parameters
     ----------
     raw : bytes
-        As it came, with the empty line that ends it.
+        Bytes as received, including the empty line that ends the event.
     id : int or None
-        Its number, when it has one.
+        Numeric id; None if the event has none.
     data : bytes
-        Its data lines, joined by line feeds.
+        Values of the data lines, joined by line feeds.
     has_data : bool
-        Whether it has any; a comment has none.
+        Whether there is any data line; a comment has none.
     """
 
     raw: bytes
@@ -29,18 +29,18 @@
 
 
 class EventReader:
-    """Collects the pieces of a stream and returns whole events."""
+    """Assembles complete events from the pieces in which a stream is received."""
 
     def __init__(self):
         self._buffer = b""
 
     @property
     def within_event(self) -> bool:
-        """Whether the stream stands in the middle of an event."""
+        """Whether the bytes fed so far end in the middle of an event."""
         return bool(self._buffer)
 
     def feed(self, piece: bytes) -> list[StreamEvent]:
-        """Take in a piece; return the events that it completes.
+        """Add a piece of the stream; return the events that it completes.
 
         Raises
         ------
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
@@ -1,4 +1,10 @@
-"""Answering a caller's request with a target's answer."""
+"""Forwards admitted requests to targets, and answers refused ones.
+
+Targets are chosen by the request order, which all hosts of the fleet share, or by this
+host alone where the order doesn't apply or doesn't answer. A request that failed at a
+target is sent again only if it is known not to have run, or if its route allows it to
+run again or to be resumed.
+"""
 
 import asyncio
 import math
@@ -38,35 +44,45 @@
 from swifttide_daemon.telemetry import EventLog
 
 MAX_SEND_ATTEMPTS = 5
-"""Targets asked for one request, those that refused it unrun included."""
+"""Attempts to send one request to a target, including those that a target refused
+without running the request."""
 
 
 PACING_WAIT_FRACTION = 0.3
-"""Part of a request's time in which it waits for targets that have had enough."""
+"""Fraction of the time left to a request that it may wait while all targets have
+received the requests that their pacing allows for now."""
 
 MIN_PACING_RETRY_SECONDS = 0.1
 MAX_PACING_RETRY_SECONDS = 2.0
-"""When to come back after that: from a few turns to most of a target's cold time."""
+"""Bounds of the retry delay sent to the caller when that wait would be too long: from
+the time of a few turns to most of a target's cold period."""
 
 
 class Forwarder:
-    """Decides on each request and carries it to a target.
+    """Admits requests, sends them to targets and answers those that fail.
 
     Parameters
     ----------
     cfg : GatewaySettings
     beliefs : Beliefs
+        Targets and configuration as this host knows them.
     dialect : Dialect
+        Header fields of requests to targets and of refusals.
     client : TargetClient
+        Connections to targets.
     health : TargetHealth
+        Outstanding requests and failures of each target.
     order : OrderKeeper
+        Client of the request order that all hosts share.
     fleet : Fleet
+        The other hosts.
     admission : Admission
     relay : AnswerRelay
     elsewhere_after : callable
-        Returns after how many seconds callers reach a host that isn't cut off from
-        the store and the other zones; None while this one isn't.
+        While this host is cut off from the store and the other zones, returns the
+        seconds until callers are routed to another host; otherwise returns None.
     strikes : StrikeKeeper
+        Fingerprints of requests that crashed targets.
     metrics : GatewayMetrics
     log : EventLog
     """
@@ -104,7 +120,7 @@
         self._log = log
 
     async def handle(self, req: CallerRequest, channel: CallerChannel) -> None:
-        """Answer one request."""
+        """Answer one request with a target's response or a refusal."""
         try:
             await self._admit_and_run(req, channel)
         except Refusal as refusal:
@@ -115,8 +131,8 @@
         except OSError:
             raise
         except Exception as exc:
-            # A fault of this program: the caller is told that nothing is known of
-            # its request, and the connection's other requests go on.
+            # A bug in the gateway. The caller gets 502, since its request may have
+            # run, and later requests of the connection are still served.
             self._log.error("request_failed", exc, request_id=req.id)
             await self._refuse(req, channel, Refusal(502, "internal"))
 
@@ -124,7 +140,7 @@
         retry_after = refusal.retry_after
         elsewhere = self._elsewhere_after()
         if retry_after is not None and elsewhere is not None:
-            # The next try then finds a host that isn't cut off.
+            # By then the retry reaches a host that isn't cut off.
             retry_after = elsewhere
         self._log.info(
             "request_refused",
@@ -153,7 +169,7 @@
             raise
 
     async def _run_with_deadline(self, job, progress):
-        """Run a job; end it with an answer when its time is up."""
+        """Run a job; raises `Refusal` at its deadline."""
         try:
             async with asyncio.timeout_at(job.expires_at):
                 await self._run(job, progress)
@@ -165,7 +181,7 @@
             self._admission.settle(job, progress)
 
     async def _run(self, job, progress):
-        """Send a job to targets until one answers it."""
+        """Send a job to targets until one answers or no further attempt is allowed."""
         tried: set[str] = set()
         reason = "no_target"
         for _ in range(MAX_SEND_ATTEMPTS):
@@ -213,9 +229,10 @@
     async def _find_target(
         self, job, tried, progress
     ) -> tuple[TargetEntry | None, Place | None]:
-        """Return where to send next, and its place in the order if it has one.
+        """Return the next target, and the place that the order assigned, if any.
 
-        Waits while all targets have had what they may get in this second.
+        Waits while all targets have received the requests that their pacing allows for
+        now; raises `Refusal` where that would take too long.
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + (job.expires_at - loop.time()) * PACING_WAIT_FRACTION
@@ -229,7 +246,7 @@
                     if isinstance(place, PlaceLater):
                         seconds = min(seconds, place.seconds)
                     if loop.time() + seconds > until:
-                        # It would be late: the caller can do better.
+                        # Too late for this attempt: the caller should retry instead.
                         self._refuse_paced(progress, seconds)
                     await asyncio.sleep(seconds * random.uniform(1.0, 1.2))
                 case _:
@@ -244,9 +261,16 @@
     async def _request_placement(
         self, job, tried, progress
     ) -> Place | PlaceLater | None:
-        """Ask the order where a turn goes, or a call whose targets may be cold.
+        """Ask the request order for a target.
+
+        Only streams, and requests whose targets may be cold, are ordered. A request
+        that may already have run at a target isn't: its next target depends on that.
 
-        One that may have run somewhere goes where that allows, whatever the order.
+        Returns
+        -------
+        Place, PlaceLater or None
+            The assigned target, the seconds until one may be assigned, or None where
+            this host has to choose.
         """
         is_ordered = job.route.kind is RequestKind.STREAMING
         is_ordered = is_ordered or self._beliefs.cold.terms(job.service).binds
@@ -273,10 +297,10 @@
         return [t.id for t in targets if self._client.is_connected(t)]
 
     def _choose(self, job, tried, may_have_run) -> TargetEntry | PlaceLater | None:
-        """Return the target to send to next without the order, None when none is left.
+        """Choose the next target without the request order; None when none is left.
 
-        Targets beyond ``max_attempts`` are asked only when the ones before them have
-        ended: then they don't count.
+        At most ``max_attempts`` of the route's targets may run the request. A target
+        that has terminated since it got the request isn't counted.
         """
         targets = self._beliefs.targets_of(job.service.name, job.homes)
         usable = [t for t in targets if t.id not in tried]
@@ -321,10 +345,11 @@
         try:
             conn = await self._client.connect(target)
             if not self._beliefs.may_use(target, job.homes):
-                # Emptied or drained since it was chosen: a connection may take seconds.
+                # The zone was emptied or the target drained while connecting, which may
+                # take seconds.
                 self._client.release(target, conn)
                 raise TargetFailure(NotRun("no longer takes new work"))
-            # From here on nobody can say that it hasn't run.
+            # From here on the target may have run the request.
             progress.sent_target_ids.append(target.id)
             progress.sent_seconds = request_age_seconds(req)
             exchange = await self._client.send(
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_frontend.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_frontend.py
@@ -1,4 +1,8 @@
-"""Connections of callers."""
+"""HTTP server for callers: accepts connections and reads requests from them.
+
+The size and the duration of requests are limited, and so is the memory that all bodies
+take together. The handling of a request is cancelled when its caller disconnects.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -17,13 +21,20 @@
 READ_BYTES = 65_536
 
 MAX_BUFFERED_BYTES = 41_943_040
-"""Bodies in memory at one time; the smallest hosts have 170 MB for all."""
+"""Total size of request bodies in memory. The smallest hosts have 170 MB of memory in
+all."""
 
 Handler = Callable[[CallerRequest, CallerChannel], Awaitable[None]]
 
 
 class DisconnectAwareProtocol(asyncio.StreamReaderProtocol):
-    """Tells at once when the other end has closed, also while nobody reads."""
+    """Stream protocol that detects the peer's disconnection while nothing reads.
+
+    Attributes
+    ----------
+    disconnected : asyncio.Future
+        Done once the peer has closed or lost the connection.
+    """
 
     def __init__(self, reader, client_connected):
         super().__init__(reader, client_connected)
@@ -43,18 +54,24 @@
 
 
 class Frontend:
-    """Serves callers: one task for each connection.
+    """Serves callers' connections, each in a task of its own.
 
     Parameters
     ----------
     dialect : Dialect
+        Decodes requests.
     limits : callable
-        Returns the limits in force.
+        Returns the request limits in force.
     may_keep_alive : callable
-        Tells whether connections may be used again.
+        Returns whether connections may be reused for another request.
     handle : callable
         Answers one request.
     log : EventLog
+
+    Attributes
+    ----------
+    stopping : bool
+        Set by the owner while the host shuts down.
     """
 
     def __init__(
@@ -77,7 +94,7 @@
         self.stopping = False
 
     async def listen(self, ip: str, port: int) -> int:
-        """Accept connections; return the port."""
+        """Start to accept connections; return the port that is bound."""
         loop = asyncio.get_running_loop()
 
         def factory():
@@ -89,16 +106,16 @@
 
     @property
     def n_busy(self) -> int:
-        """Connections with a request that isn't answered yet."""
+        """Number of connections with a request that hasn't been answered."""
         return len(self._busy)
 
     def stop_accepting(self) -> None:
-        """Close the port; connections that are open stay."""
+        """Close the listening socket; open connections stay open."""
         if self._server is not None:
             self._server.close()
 
     def close_idle(self) -> None:
-        """Close connections without a request."""
+        """Close connections that have no request in progress."""
         for task, writer in list(self._connections.items()):
             if task not in self._busy:
                 writer.close()
@@ -120,7 +137,7 @@
 
 
 class _Connection:
-    """One caller's connection, straight down."""
+    """Reads and answers the requests of one connection, one after the other."""
 
     def __init__(self, front: Frontend, reader, writer, task):
         self._frontend = front
@@ -209,10 +226,11 @@
                     self._receive(data)
 
     def _check_framing(self, head, limits):
-        """Refuse a request whose end two readers may see at different places.
+        """Refuse a request whose length is ambiguous.
 
-        With a length and chunks at once, a target may take the rest of the body for
-        another request, which would run with nobody having sent it.
+        With both a length and chunked transfer coding, a target may take the rest of
+        the body for another request and run it, although nobody sent it (request
+        smuggling).
         """
         fields = tuple(head.headers)
         lengths = all_values(fields, b"content-length")
@@ -256,7 +274,7 @@
             raise Refusal(400, exc.detail) from exc
 
     async def _refuse(self, refusal):
-        """Answer a request that couldn't be read, and close."""
+        """Answer a request that couldn't be read, and close the connection."""
         self._frontend._log.info(
             "request_unreadable", status=refusal.status, reason=refusal.reason
         )
@@ -268,10 +286,10 @@
         await self._close_after_linger()
 
     async def _close_after_linger(self):
-        """Let the caller read the answer before the connection goes.
+        """Close for writing, then read until the caller closes or the time is up.
 
-        Closing with unread bytes resets the connection, and the reset can overtake
-        the answer.
+        Closing a socket with unread bytes resets the connection, and the reset can
+        reach the caller before the response does.
         """
         if self._writer.can_write_eof():
             self._writer.write_eof()
@@ -283,9 +301,9 @@
             return
 
     async def _run_until_disconnect(self, handling):
-        """Run a handler until it is done or the caller has left.
+        """Run a handler until it is done, and cancel it if the caller disconnects.
 
-        What nobody waits for any longer would still take the places of others.
+        A request that nobody waits for would still occupy capacity at a target.
         """
         task = asyncio.ensure_future(handling)
         try:
@@ -293,7 +311,7 @@
                 (task, self._disconnected), return_when=asyncio.FIRST_COMPLETED
             )
             if not task.done():
-                task.cancel("caller gone")
+                task.cancel("caller disconnected")
             await asyncio.wait((task,))
         finally:
             task.cancel()
@@ -301,7 +319,7 @@
             raise task.exception()
 
     def _start_next_request(self):
-        """Make ready for the next request; return whether there may be one."""
+        """Prepare for the next request; return whether the connection can be reused."""
         http = self._http
         if self._disconnected.done() or self._writer.is_closing():
             return False
@@ -312,4 +330,4 @@
 
 
 LINGER_SECONDS = 1.0
-"""Time for a caller to read the answer to a request that wasn't read to its end."""
+"""Time for a caller to read the response to a request that wasn't read to its end."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_http_fields.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_http_fields.py
@@ -1,7 +1,7 @@
-"""Header fields as they stand on the wire."""
+"""HTTP header fields as received or sent, and which of them a proxy forwards."""
 
 Fields = tuple[tuple[bytes, bytes], ...]
-"""Names in lower case, with their values."""
+"""Pairs of a name in lower case and its value."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -28,12 +28,15 @@
 
 
 def all_values(fields: Fields, name: bytes) -> list[bytes]:
-    """Return all values of a field."""
+    """Return all values of a field, in order."""
     return [value for field, value in fields if field == name]
 
 
 def end_to_end(fields: Fields) -> Fields:
-    """Return the fields that are passed on."""
+    """Return the fields that a proxy forwards.
+
+    Hop-by-hop fields and those that ``Connection`` lists are left out.
+    """
     named = {
         token.strip().lower()
         for value in all_values(fields, b"connection")
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_job.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_job.py
@@ -1,4 +1,4 @@
-"""A request that was let in, and what has become of it."""
+"""An admitted request, and the state of its execution."""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """A request that was let in, with what was found out about it.
+    """An admitted request with what admission has determined about it.
 
     Parameters
     ----------
@@ -19,18 +19,19 @@
     route : Route
     service : ServiceSpec
     terms : CustomerTerms or None
-        Of the customer; None where requests need no key.
+        Terms of the customer; None where requests need no API key.
     expires_at : float
-        Time of the event loop at which the caller or the route gives up.
+        Deadline of the caller or the route, whichever is earlier, as a time of the
+        event loop in seconds.
     body : bytes
-        What the target is to read: the history, then the new input.
+        Body sent to the target: the stored transcript, then the new input.
     reservation : Reservation or None
-        Tokens set aside for a turn.
+        Tokens reserved for a turn; None if the request needs none.
     channel : CallerChannel
     fingerprint : str
-        The same for all requests that would crash the same targets.
+        Identifies the request when it crashes targets; equal requests share it.
     homes : frozenset of str or None
-        Regions in which it may run and be carried; None: anywhere.
+        Regions in which the request may run and its data may be stored; None for any.
     """
 
     req: CallerRequest
@@ -46,13 +47,14 @@
 
     @property
     def customer(self) -> str:
-        """Name of the customer; empty without one."""
+        """Name of the customer; empty if there is none."""
         return self.terms.name if self.terms else ""
 
     def may_repeat(self, progress: "Progress") -> bool:
-        """Whether it may be sent again though it may have run.
+        """Return whether the job may be sent again although it may have run.
 
-        A stream without numbered events has no place at which to go on.
+        Once events have been relayed, a stream can only be resumed, which requires
+        numbered events.
         """
         if progress.n_events:
             return self.route.resumable and progress.last_event_id is not None
@@ -60,33 +62,40 @@
 
 
 class Progress:
-    """What has become of a job so far."""
+    """Mutable state of a job's execution.
+
+    Ages are in seconds since the request was completely read.
+    """
 
     def __init__(self):
         self.sent_target_ids: list[str] = []
-        """Targets that may have run the request."""
+        """Ids of targets that may have run the request, one for each attempt."""
         self.last_event_id: int | None = None
+        """Id of the last event relayed; None if no event had one."""
         self.event_ids_consecutive = True
-        """Whether each event's number followed the one before."""
+        """Whether each event id so far was the one before plus 1."""
         self.n_events = 0
+        """Events relayed to the caller."""
         self.output_chunks: list[bytes] = []
+        """Data of the relayed events, for the transcript."""
         self.rate_seconds = 0.0
-        """Age of the request when its customer's rate let it in."""
+        """Age of the request when its customer's rate limiter admitted it."""
         self.target_load = 0.0
-        """Requests believed at the target for each place there, as it was last sent."""
+        """Outstanding requests for each place (one concurrent request) at the target
+        when the request was last sent."""
         self.sent_seconds = 0.0
         """Age of the request when it was last sent to a target."""
         self.first_seconds = 0.0
-        """Age of the request at the first event or the whole answer."""
+        """Age of the request at the first event, or at the complete response."""
 
     @property
     def first_event_wait_seconds(self) -> float | None:
-        """Seconds from sending to the first event; None if there was none."""
+        """Seconds from the last sending to the first event; None without events."""
         if not self.n_events:
             return None
         return max(0.0, self.first_seconds - self.sent_seconds)
 
 
 def request_age_seconds(req: CallerRequest) -> float:
-    """Return the seconds since a request had been read."""
+    """Return the seconds since a request was completely read."""
     return asyncio.get_running_loop().time() - req.received_at
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_program_entry.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_program_entry.py
@@ -1,4 +1,9 @@
-"""Whether new programs may begin: as the order says, else by beacons' counts."""
+"""Decides whether new programs may start, to protect targets under overload.
+
+The request order, which all hosts share, decides. While it doesn't answer, this host
+decides by the numbers of outstanding requests that the hosts' beacons (periodic status
+messages) report.
+"""
 
 import asyncio
 
@@ -12,16 +17,19 @@
 
 
 class ProgramEntry:
-    """Asks before a new program begins at a service.
+    """Admits or refuses new programs at a service.
 
-    The order over all hosts knows best; where its keeper doesn't answer, a gate for
-    each service decides by what beacons tell.
+    The shared request order has the most complete view of the load. Where it doesn't
+    answer, a gate for each service decides by the load that beacons report.
 
     Parameters
     ----------
     beliefs : Beliefs
+        Targets as this host knows them.
     health : TargetHealth
+        Outstanding requests of each target.
     order : OrderKeeper
+        Client of the shared request order.
     log : EventLog
     """
 
@@ -39,7 +47,7 @@
         self._gates: dict[str, ProgramGate] = {}
 
     def observe_load(self, service: ServiceSpec) -> None:
-        """Follow how full a service's targets are."""
+        """Update the service's gate with the current load if an update is due."""
         gate = self._gate(service)
         now = asyncio.get_running_loop().time()
         if gate.wants_look(now):
@@ -53,7 +61,7 @@
         seconds: float | None,
         homes: Homes = None,
     ) -> None:
-        """Let a new program begin; raises `Refusal` where targets have no place.
+        """Admit a new program; raises `Refusal` where the targets have no capacity.
 
         Parameters
         ----------
@@ -62,9 +70,9 @@
         program : str
             Key of the program.
         seconds : float or None
-            Until it should be finished; None if it doesn't say.
+            Time until the program's deadline; None if not stated.
         homes : frozenset of str or None
-            Regions to which the program is bound.
+            Regions in which the program may run; None for any.
         """
         gate = self._gate(service)
         load = self.load(service)
@@ -85,13 +93,14 @@
                 raise Refusal(503, "targets_full", retry_seconds)
 
     def min_admitted_fraction(self) -> float:
-        """Return the part of new programs let in at the service that is fullest."""
+        """Return the lowest fraction of new programs that any service's gate admits."""
         return min((gate.share for gate in self._gates.values()), default=1.0)
 
     def load(self, service: ServiceSpec) -> float:
-        """Return the requests at a service's targets for each place there.
+        """Return the outstanding requests per place at a service's usable targets.
 
-        0 where no target is known: then there is nothing to protect.
+        A place is one concurrent request that a target takes. The load is 0 where no
+        target is known, as there is nothing to protect then.
         """
         targets = self._beliefs.targets_of(service.name)
         usable = [t for t in targets if self._health.usable(t.id)]
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_refusal.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_refusal.py
@@ -1,20 +1,20 @@
-"""Answers of our own instead of a target's."""
+"""Responses with which the gateway itself refuses or fails a request."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal(Exception):
-    """A request is answered without a target's answer.
+    """A request is answered by the gateway instead of a target.
 
     Parameters
     ----------
     status : int
-        429 and 503 promise that the request hasn't run and never will.
+        HTTP status. 429 and 503 guarantee that the request hasn't run and won't run.
     reason : str
-        For the caller and the log.
+        Name of the reason, for the caller, the log and metrics.
     retry_after : float or None
-        Seconds after which to come back; None where that would be in vain.
+        Seconds after which the caller may retry; None if a retry would be useless.
     """
 
     status: int
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_event_reader.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_event_reader.py
@@ -1,4 +1,4 @@
-"""Cutting streams into events."""
+"""Splitting server-sent event streams into events."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 class TestEventReader:
-    def test_pieces_that_cut_an_event(self):
+    def test_event_split_across_pieces(self):
         reader = EventReader()
         text = b"id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n"
         events = [e for i in range(len(text)) for e in reader.feed(text[i : i + 1])]
@@ -14,17 +14,17 @@
         assert b"".join(e.raw for e in events) == text
         assert not reader.within_event
 
-    def test_end_within_an_event_is_seen(self):
+    def test_unfinished_event_is_detected(self):
         reader = EventReader()
         reader.feed(b"id: 1\nda")
         assert reader.within_event
 
-    def test_other_lines_are_kept_as_they_came(self):
+    def test_unknown_fields_are_kept_in_raw_bytes(self):
         (event,) = EventReader().feed(b"swifttide-weight-versions: 3\ndata: x\n\n")
         assert event.id is None
         assert event.data == b"x"
         assert event.raw.startswith(b"swifttide-weight-versions: 3\n")
 
-    def test_event_without_end_is_an_error(self):
+    def test_overlong_event_is_an_error(self):
         with pytest.raises(ValueError, match="bytes"):
             EventReader().feed(b"x" * (MAX_EVENT_BYTES + 1))
