--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
@@ -280,7 +280,7 @@
         """Return the body for the target: the stored transcript, then the new input."""
         if not (route.keeps_turns and req.turn.previous):
             return req.body
-        history = await self._turns.transcript(
+        history = await self._turns.read_transcript(
             req.id, customer, req.turn.previous, route.keep_seconds, homes
         )
         return history + req.body
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_answer_relay.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_answer_relay.py
@@ -170,7 +170,7 @@
         loop = asyncio.get_running_loop()
         until = loop.time() + MAX_TURN_STORE_SECONDS
         keep = functools.partial(
-            self._turns.keep,
+            self._turns.save,
             job.customer,
             job.req.id,
             transcript,
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
@@ -40,7 +40,7 @@
     TargetClient,
 )
 from swifttide_daemon.gateway.targets._target_health import TargetHealth
-from swifttide_daemon.gateway.turns._line_places import LinePlaces
+from swifttide_daemon.gateway.turns._prompt_locations import PromptLocations
 from swifttide_daemon.telemetry import EventLog
 
 MAX_SEND_ATTEMPTS = 5
@@ -111,7 +111,7 @@
         self._health = health
         self._order = order
         self._fleet = fleet
-        self._lines = LinePlaces()
+        self._prompt_locations = PromptLocations()
         self._admission = admission
         self._relay = relay
         self._elsewhere_after = elsewhere_after
@@ -281,7 +281,7 @@
             job.service,
             program_key(job.customer, req.turn.program) if req.turn.program else "",
             req.subject,
-            self._lines.last(job.customer, req) or "",
+            self._prompt_locations.last_target_id(job.customer, req) or "",
             job.expires_at - asyncio.get_running_loop().time(),
             frozenset(tried),
             job.homes,
@@ -316,7 +316,7 @@
         if healthy and not allowed:
             return PlaceLater(wait_seconds if math.isfinite(wait_seconds) else 1.0)
         candidates = [self._candidate(target) for target in allowed]
-        last = self._lines.last(job.customer, job.req)
+        last = self._prompt_locations.last_target_id(job.customer, job.req)
         subject = job.req.subject
         found = choose_target(candidates, self._zone, subject, last, self._host)
         if found is not None:
@@ -363,7 +363,7 @@
             )
             await self._relay.relay(job, progress, exchange)
             self._health.answered(target.id)
-            self._lines.served(job.customer, req, target.id)
+            self._prompt_locations.record(job.customer, req, target.id)
             self._strikes.ran(job.fingerprint)
         finally:
             self._health.ended_request(target.id)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_news.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_news.py
@@ -71,7 +71,7 @@
             number=number,
             store_up=self._store.direct_up,
             store_full=self._store.is_full,
-            away_seconds=self._memory.away_seconds(),
+            away_seconds=self._memory.seconds_since_outage(),
             config_change=self._config_watch.newest_change,
             target_change=self._targets_watch.newest_change,
             outstanding=self._health.own_counts(),
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_service.py
@@ -119,7 +119,7 @@
             case HandSlots():
                 return Done(self._lender().take_over(request))
             case KeepCopy():
-                return Done(self._turns().memory.keep_copy(request))
+                return Done(self._turns().memory.accept_copy(request))
             case DropCopies(turns):
                 self._turns().memory.drop_copies(turns)
                 return Done(True)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_line_places.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_line_places.py
@@ -1,7 +1,10 @@
 """Where lines were served last."""
 
 from swifttide_daemon.gateway.callers._caller_request import CallerRequest, TurnTerms
-from swifttide_daemon.gateway.turns._line_places import MAX_LINES, LinePlaces
+from swifttide_daemon.gateway.turns._prompt_locations import (
+    MAX_BRANCHES,
+    PromptLocations,
+)
 
 
 def turn(line, prompt_tokens=500):
@@ -22,27 +25,27 @@
 
 class TestLinePlaces:
     def test_lines_of_customers_are_kept_apart(self):
-        places = LinePlaces()
-        places.served("a", turn("line"), "t1")
-        places.served("b", turn("line"), "t2")
-        assert places.last("a", turn("line")) == "t1"
-        assert places.last("b", turn("line")) == "t2"
-        assert places.last("c", turn("line")) is None
+        places = PromptLocations()
+        places.record("a", turn("line"), "t1")
+        places.record("b", turn("line"), "t2")
+        assert places.last_target_id("a", turn("line")) == "t1"
+        assert places.last_target_id("b", turn("line")) == "t2"
+        assert places.last_target_id("c", turn("line")) is None
 
     def test_memory_is_bounded(self):
         """Callers name their lines themselves, as many as they like."""
-        places = LinePlaces()
-        for i in range(MAX_LINES + 10):
-            places.served("a", turn(f"line{i}"), "t1")
-        assert places.last("a", turn("line0")) is None
-        assert places.last("a", turn(f"line{MAX_LINES}")) == "t1"
+        places = PromptLocations()
+        for i in range(MAX_BRANCHES + 10):
+            places.record("a", turn(f"line{i}"), "t1")
+        assert places.last_target_id("a", turn("line0")) is None
+        assert places.last_target_id("a", turn(f"line{MAX_BRANCHES}")) == "t1"
 
     def test_requests_without_prompt_or_line_leave_nothing(self):
         """Calls of tools bear the line of their turn, and go to other targets."""
-        places = LinePlaces()
-        places.served("a", turn("line"), "t1")
-        places.served("a", turn("line", prompt_tokens=0), "tool")
-        places.served("a", turn(""), "t2")
-        assert places.last("a", turn("line")) == "t1"
-        assert places.last("a", turn("line", prompt_tokens=0)) is None
-        assert places.last("a", turn("")) is None
+        places = PromptLocations()
+        places.record("a", turn("line"), "t1")
+        places.record("a", turn("line", prompt_tokens=0), "tool")
+        places.record("a", turn(""), "t2")
+        assert places.last_target_id("a", turn("line")) == "t1"
+        assert places.last_target_id("a", turn("line", prompt_tokens=0)) is None
+        assert places.last_target_id("a", turn("")) is None
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_turn_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_turn_keeper.py
@@ -22,7 +22,7 @@
 ZONES = {"h0": "a", "h1": "b", "h2": "c", "h3": "a", "h4": "a"}
 
 
-class Peers:
+class DirectPeerClient:
     """Calls between the keepers of several hosts."""
 
     def __init__(self, hosts):
@@ -35,7 +35,7 @@
             return None
         match request:
             case KeepCopy():
-                return Done(host.turns.memory.keep_copy(request))
+                return Done(host.turns.memory.accept_copy(request))
             case DropCopies(turns):
                 host.turns.memory.drop_copies(turns)
                 return Done(True)
@@ -49,36 +49,36 @@
     def __init__(self, fleet, ip, store, log):
         self.peer = Peer(ip, 1, ZONES[ip], ip + "-boot")
         self.fleet = Fleet(self.peer, log)
-        self.certain = True
-        self.cut = False
+        self.no_prior_unstored_turns = True
+        self.isolated = False
         self._store = store
         self.turns = TurnKeeper(
             store,
             65_536,
             self.fleet,
-            Peers(fleet.hosts),
+            DirectPeerClient(fleet.hosts),
             fleet.n_copies,
             lambda: not store.down,
-            lambda: self.certain,
+            lambda: self.no_prior_unstored_turns,
             RowReaper(store, log),
             log,
         )
         self.tasks = [
             asyncio.create_task(self.turns.memory.run()),
-            asyncio.create_task(self.tell(fleet)),
+            asyncio.create_task(self.send_beacons(fleet)),
         ]
 
-    async def tell(self, fleet):
+    async def send_beacons(self, fleet):
         """Send beacons to the other hosts."""
         while True:
             for other in fleet.hosts.values():
-                if other is not self and other.cut == self.cut:
-                    away = self.turns.memory.away_seconds()
+                if other is not self and other.isolated == self.isolated:
+                    away = self.turns.memory.seconds_since_outage()
                     other.fleet.heard(self.peer, not self._store.down, away)
             await asyncio.sleep(0.2)
 
 
-class Hosts:
+class SimulatedFleet:
     """Five hosts in three zones."""
 
     def __init__(self, store, log, n_copies):
@@ -95,19 +95,19 @@
         """Return the turn as a host knows it, or the status of its refusal."""
         turns = self.hosts[ip].turns
         try:
-            return await turns.transcript("r", "c", "t1", KEEP_SECONDS)
+            return await turns.read_transcript("r", "c", "t1", KEEP_SECONDS)
         except Refusal as refusal:
             return refusal.status
 
-    async def keep(self, ip):
-        return await self.hosts[ip].turns.keep("c", "t1", b"said", KEEP_SECONDS)
+    async def save(self, ip):
+        return await self.hosts[ip].turns.save("c", "t1", b"said", KEEP_SECONDS)
 
 
 @pytest.fixture
-def play(store, log):
+def run_scenario(store, log):
     def run(scenario, n_copies=2):
         async def main():
-            hosts = Hosts(store, log, n_copies)
+            hosts = SimulatedFleet(store, log, n_copies)
             await asyncio.sleep(1.0)
             return await scenario(hosts)
 
@@ -117,18 +117,18 @@
 
 
 class TestOutage:
-    def test_turn_goes_on_at_any_host(self, play, store):
+    def test_turn_saved_in_outage_is_readable_at_every_host(self, run_scenario, store):
         """A turn ends while the store is away, and the next one comes elsewhere."""
 
         async def scenario(hosts):
             store.down = True
             await asyncio.sleep(2.0)
-            kept = await hosts.keep("h0")
+            kept = await hosts.save("h0")
             return kept, [await hosts.read(ip) for ip in hosts.hosts]
 
-        assert play(scenario) == (True, [b"said"] * 5)
+        assert run_scenario(scenario) == (True, [b"said"] * 5)
 
-    def test_turn_outlives_the_host_that_answered_it(self, play, store):
+    def test_turn_survives_loss_of_the_host_that_served_it(self, run_scenario, store):
         """The host that answered a turn loses power right after its answer.
 
         The caller has the whole answer; its next turn would be refused as unknown,
@@ -138,7 +138,7 @@
         async def scenario(hosts):
             store.down = True
             await asyncio.sleep(2.0)
-            assert await hosts.keep("h0")
+            assert await hosts.save("h0")
             hosts.kill("h0")
             before = await hosts.read("h3")
             store.down = False
@@ -146,9 +146,11 @@
             key = turn_key("c", "t1")
             return before, len(store.rows.range("turns", key[:2], key, key + "~"))
 
-        assert play(scenario) == (b"said", 1)
+        assert run_scenario(scenario) == (b"said", 1)
 
-    def test_not_answered_whole_without_its_row_unless_asked_for(self, play, store):
+    def test_not_saved_without_store_when_no_copies_are_configured(
+        self, run_scenario, store
+    ):
         """All hosts lose power before the store is back.
 
         A turn that was answered from memory alone is gone then, and its program can't
@@ -158,11 +160,11 @@
         async def scenario(hosts):
             store.down = True
             await asyncio.sleep(2.0)
-            return await hosts.keep("h0")
+            return await hosts.save("h0")
 
-        assert play(scenario, n_copies=0) is False
+        assert run_scenario(scenario, n_copies=0) is False
 
-    def test_not_answered_whole_without_a_copy_in_another_zone(self, play, store):
+    def test_not_saved_while_the_zone_is_isolated(self, run_scenario, store):
         """A zone is cut off from the store and from the other zones.
 
         Its callers may come to the others next, where nobody knows of the turn.
@@ -170,14 +172,14 @@
 
         async def scenario(hosts):
             for ip in ("h0", "h3", "h4"):
-                hosts.hosts[ip].cut = True
+                hosts.hosts[ip].isolated = True
             store.down = True
             await asyncio.sleep(2.0)
-            return await hosts.keep("h0")
+            return await hosts.save("h0")
 
-        assert play(scenario) is False
+        assert run_scenario(scenario) is False
 
-    def test_not_kept_in_memory_before_the_others_know(self, play, store):
+    def test_not_saved_before_peers_know_of_the_outage(self, run_scenario, store):
         """The store has just become unreachable for one host.
 
         Others still take its silence on the matter for a store that it reaches, and
@@ -187,44 +189,44 @@
         async def scenario(hosts):
             store.down = True
             await asyncio.sleep(0.5)
-            return await hosts.keep("h0")
+            return await hosts.save("h0")
 
-        assert play(scenario) is False
+        assert run_scenario(scenario) is False
 
-    def test_stored_once_when_the_store_is_back(self, play, store):
+    def test_stored_once_after_the_outage(self, run_scenario, store):
         async def scenario(hosts):
             store.down = True
             await asyncio.sleep(2.0)
-            await hosts.keep("h0")
+            await hosts.save("h0")
             store.down = False
             before = store.rows.n_commits
             await asyncio.sleep(5.0)
             waiting = [len(h.turns.memory) for h in hosts.hosts.values()]
             return store.rows.n_commits - before, waiting
 
-        assert play(scenario) == (1, [0] * 5)
+        assert run_scenario(scenario) == (1, [0] * 5)
 
-    def test_host_that_stops_hands_its_copies_on(self, play, store):
+    def test_stopping_host_hands_over_its_copies(self, run_scenario, store):
         async def scenario(hosts):
             store.down = True
             await asyncio.sleep(2.0)
-            await hosts.keep("h0")
+            await hosts.save("h0")
             for ip in ("h0", "h1", "h2"):
                 await hosts.hosts[ip].turns.memory.hand_over()
                 hosts.kill(ip)
             return await hosts.read("h3")
 
-        assert play(scenario) == b"said"
+        assert run_scenario(scenario) == b"said"
 
 
 class TestUnknownTurn:
-    def test_is_404_while_all_hosts_have_the_store(self, play):
+    def test_404_while_all_hosts_reach_the_store(self, run_scenario):
         async def scenario(hosts):
             return await hosts.read("h0")
 
-        assert play(scenario) == 404
+        assert run_scenario(scenario) == 404
 
-    def test_is_503_after_an_outage(self, play, store):
+    def test_503_after_an_outage(self, run_scenario, store):
         """All hosts that had the turn in memory are lost before it is stored.
 
         Whether there was such a turn isn't known; 404 would end its program.
@@ -237,20 +239,20 @@
             await asyncio.sleep(5.0)
             return await hosts.read("h0")
 
-        assert play(scenario) == 503
+        assert run_scenario(scenario) == 503
 
-    def test_is_503_while_a_host_is_silent(self, play):
+    def test_503_while_a_host_is_unreachable(self, run_scenario):
         async def scenario(hosts):
-            hosts.hosts["h2"].cut = True
+            hosts.hosts["h2"].isolated = True
             await asyncio.sleep(2.0)
             return await hosts.read("h0")
 
-        assert play(scenario) == 503
+        assert run_scenario(scenario) == 503
 
-    def test_is_503_where_another_host_started_after_an_outage(self, play):
+    def test_503_while_another_host_may_have_had_unstored_turns(self, run_scenario):
         async def scenario(hosts):
-            hosts.hosts["h2"].certain = False
+            hosts.hosts["h2"].no_prior_unstored_turns = False
             await asyncio.sleep(1.0)
             return await hosts.read("h0")
 
-        assert play(scenario) == 503
+        assert run_scenario(scenario) == 503
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_line_places.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_prompt_locations.py
@@ -4,12 +4,12 @@
 
 from swifttide_daemon.gateway.callers._caller_request import CallerRequest
 
-MAX_LINES = 5_000
+MAX_BRANCHES = 5_000
 """Lines that are remembered, some 300 bytes each: those of half a minute at the busiest
 hosts."""
 
 
-class LinePlaces:
+class PromptLocations:
     """Targets that have the prompt of a line in memory, as this host knows.
 
     Load pattern: the turns of a line follow each other within a second, mostly through
@@ -20,22 +20,26 @@
     """
 
     def __init__(self):
-        self._targets: OrderedDict[tuple[str, str, str], str] = OrderedDict()
+        self._target_ids: OrderedDict[tuple[str, str, str], str] = OrderedDict()
 
-    def served(self, customer: str, req: CallerRequest, target_id: str) -> None:
+    def record(self, customer: str, req: CallerRequest, target_id: str) -> None:
         """Note where a request was served; only turns leave a prompt there."""
         if not (req.turn.branch and req.prompt_tokens):
             return
-        place = _place(customer, req)
-        self._targets[place] = target_id
-        self._targets.move_to_end(place)
-        if len(self._targets) > MAX_LINES:
-            self._targets.popitem(last=False)
+        key = _branch_key(customer, req)
+        self._target_ids[key] = target_id
+        self._target_ids.move_to_end(key)
+        if len(self._target_ids) > MAX_BRANCHES:
+            self._target_ids.popitem(last=False)
 
-    def last(self, customer: str, req: CallerRequest) -> str | None:
+    def last_target_id(self, customer: str, req: CallerRequest) -> str | None:
         """Return the target of the line's last turn, None where it isn't known."""
-        return self._targets.get(_place(customer, req)) if req.prompt_tokens else None
+        return (
+            self._target_ids.get(_branch_key(customer, req))
+            if req.prompt_tokens
+            else None
+        )
 
 
-def _place(customer, req) -> tuple[str, str, str]:
+def _branch_key(customer, req) -> tuple[str, str, str]:
     return customer, req.turn.program, req.turn.branch
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_turn_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_turn_keeper.py
@@ -29,11 +29,11 @@
 MAX_TRANSCRIPT_BYTES = 900_000
 """What one transaction and one read carry."""
 
-ROOM = 0.9
+ROW_FILL_FRACTION = 0.9
 """Part of a row that a piece of a transcript fills; the store counts other bytes
 of the row too."""
 
-RETRY_AFTER_SECONDS = 1.2
+STORE_RETRY_AFTER_SECONDS = 1.2
 """When to come back while the store is away. An outage lasts seconds: who comes back
 sooner has used up its tries before the store is back."""
 
@@ -53,8 +53,8 @@
     peers : PeerClient
     n_copies : int
         Other hosts that must have a turn in memory while the store is away.
-    is_store_there : callable
-    is_certain : callable
+    is_store_reachable : callable
+    no_prior_unstored_turns : callable
         Tells whether no earlier process of this host can have kept turns in memory
         that no row has.
     reaper : RowReaper
@@ -73,22 +73,28 @@
         fleet: Fleet,
         peers: PeerClient,
         n_copies: int,
-        is_store_there: Callable[[], bool],
-        is_certain: Callable[[], bool],
+        is_store_reachable: Callable[[], bool],
+        no_prior_unstored_turns: Callable[[], bool],
         reaper: RowReaper,
         log: EventLog,
     ):
         self._store = store
         self.memory = TurnMemory(
-            fleet, peers, n_copies, is_store_there, is_certain, self._store_late, log
+            fleet,
+            peers,
+            n_copies,
+            is_store_reachable,
+            no_prior_unstored_turns,
+            self._store_after_outage,
+            log,
         )
         self._reaper = reaper
-        self._piece_bytes = int(row_bytes * ROOM)
+        self._chunk_bytes = int(row_bytes * ROW_FILL_FRACTION)
         self._log = log
         self._cache: OrderedDict[str, bytes] = OrderedDict()
         self._cached_bytes = 0
 
-    async def transcript(
+    async def read_transcript(
         self,
         request_id: str,
         customer: str,
@@ -119,23 +125,23 @@
         if isinstance(found, Rows) and found.rows:
             pieces = sorted((r.key.key, r.value or b"") for r in found.rows)
             transcript = b"".join(value for _, value in pieces)
-            self._remember(key, transcript)
+            self._cache_transcript(key, transcript)
             return transcript
-        if isinstance(found, Rows) and not self.memory.may_have_it_elsewhere(
+        if isinstance(found, Rows) and not self.memory.may_be_held_in_memory(
             keep_seconds
         ):
             self._log.info("turn_unknown", request_id=request_id, turn=turn)
             raise Refusal(404, "no_such_turn")
-        transcript = await self.memory.ask_peers(key)
+        transcript = await self.memory.fetch_from_peers(key)
         if transcript is not None:
-            self._remember(key, transcript)
+            self._cache_transcript(key, transcript)
             return transcript
         # Whoever kept it in memory may be out of reach: 404 could be wrong.
         detail = found.detail if isinstance(found, Unavailable) else "no row yet"
         self._log.warning(
             "turn_unread", request_id=request_id, turn=turn, detail=detail
         )
-        raise Refusal(503, "store_unavailable", RETRY_AFTER_SECONDS)
+        raise Refusal(503, "store_unavailable", STORE_RETRY_AFTER_SECONDS)
 
     def in_memory(self, key: str) -> bytes | None:
         """Return a transcript that this host has in memory."""
@@ -145,7 +151,7 @@
             return cached
         return self.memory.find(key)
 
-    async def keep(
+    async def save(
         self,
         customer: str,
         turn: str,
@@ -163,22 +169,22 @@
             return False
         key = turn_key(customer, turn)
         if await self._write(key, transcript, seconds, homes):
-            self._remember(key, transcript)
+            self._cache_transcript(key, transcript)
             return True
         if homes is not None:
             # Other hosts would keep it in memory, in whichever region they are.
             return False
-        return await self.memory.keep(key, transcript, seconds)
+        return await self.memory.replicate(key, transcript, seconds)
 
-    async def _store_late(self, key, transcript, seconds) -> bool:
-        self._remember(key, transcript)
+    async def _store_after_outage(self, key, transcript, seconds) -> bool:
+        self._cache_transcript(key, transcript)
         return await self._write(key, transcript, seconds)
 
     def _store_for(self, homes) -> RegionalStore | HomeStore:
         return self._store if homes is None else HomeStore(self._store, homes)
 
     async def _write(self, key, transcript, seconds, homes=None) -> bool:
-        size = self._piece_bytes
+        size = self._chunk_bytes
         pieces = [transcript[i : i + size] for i in range(0, len(transcript), size)]
         puts = tuple(
             Put(RowKey(TABLE, key[:2], f"{key}.{i:03}"), piece)
@@ -192,7 +198,7 @@
             case _:
                 return False
 
-    def _remember(self, key, transcript):
+    def _cache_transcript(self, key, transcript):
         self._cached_bytes -= len(self._cache.pop(key, b""))
         self._cache[key] = transcript
         self._cached_bytes += len(transcript)
--- a/packages/swifttide_daemon/src/swifttide_daemon/platform/tests/test_homes.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/platform/tests/test_homes.py
@@ -80,7 +80,7 @@
             bound._store.direct_up = False
             bound._store._doubt = lambda outcome: None
             site.store.rows.put("probe", "x", b"")
-            return await bound._turns.keep(
+            return await bound._turns.save(
                 "c", "t1", b"said", 60.0, frozenset({"south"})
             ), carried
 
