--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_turn_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_turn_keeper.py
@@ -1,4 +1,4 @@
-"""Turns while the store is away."""
+"""Saving and reading turns while the store is unreachable."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 
 
 class DirectPeerClient:
-    """Calls between the keepers of several hosts."""
+    """Test double of the peer client that calls the simulated hosts directly."""
 
     def __init__(self, hosts):
         self._hosts = hosts
@@ -44,7 +44,7 @@
 
 
 class Host:
-    """One host: its view of the fleet and its turns."""
+    """One simulated host with its view of the fleet and its turns."""
 
     def __init__(self, fleet, ip, store, log):
         self.peer = Peer(ip, 1, ZONES[ip], ip + "-boot")
@@ -79,7 +79,7 @@
 
 
 class SimulatedFleet:
-    """Five hosts in three zones."""
+    """Five simulated hosts in three zones."""
 
     def __init__(self, store, log, n_copies):
         self.hosts = {}
@@ -92,7 +92,7 @@
             task.cancel()
 
     async def read(self, ip):
-        """Return the turn as a host knows it, or the status of its refusal."""
+        """Return the transcript read at a host, or the status of its refusal."""
         turns = self.hosts[ip].turns
         try:
             return await turns.read_transcript("r", "c", "t1", KEEP_SECONDS)
@@ -118,7 +118,7 @@
 
 class TestOutage:
     def test_turn_saved_in_outage_is_readable_at_every_host(self, run_scenario, store):
-        """A turn ends while the store is away, and the next one comes elsewhere."""
+        """A turn ends while the store is down; the next one goes to another host."""
 
         async def scenario(hosts):
             store.down = True
@@ -129,10 +129,10 @@
         assert run_scenario(scenario) == (True, [b"said"] * 5)
 
     def test_turn_survives_loss_of_the_host_that_served_it(self, run_scenario, store):
-        """The host that answered a turn loses power right after its answer.
+        """A host loses power right after the complete response to a turn.
 
-        The caller has the whole answer; its next turn would be refused as unknown,
-        though it did nothing wrong.
+        Without a copy elsewhere, the caller's next turn would be refused because the
+        turn before it is unknown.
         """
 
         async def scenario(hosts):
@@ -151,10 +151,10 @@
     def test_not_saved_without_store_when_no_copies_are_configured(
         self, run_scenario, store
     ):
-        """All hosts lose power before the store is back.
+        """All hosts lose power before the outage ends.
 
-        A turn that was answered from memory alone is gone then, and its program can't
-        go on, though its caller had the whole answer.
+        A turn that was only in memory would be lost and its program couldn't continue,
+        although the caller had received the complete response.
         """
 
         async def scenario(hosts):
@@ -167,7 +167,7 @@
     def test_not_saved_while_the_zone_is_isolated(self, run_scenario, store):
         """A zone is cut off from the store and from the other zones.
 
-        Its callers may come to the others next, where nobody knows of the turn.
+        The next turn of its callers may go to another zone, where no host has a copy.
         """
 
         async def scenario(hosts):
@@ -182,8 +182,8 @@
     def test_not_saved_before_peers_know_of_the_outage(self, run_scenario, store):
         """The store has just become unreachable for one host.
 
-        Others still take its silence on the matter for a store that it reaches, and
-        would call a turn unknown that lies in its memory.
+        Until its beacons announce this, other hosts assume that it reaches the store,
+        and would report a turn in its memory as unknown.
         """
 
         async def scenario(hosts):
@@ -227,9 +227,9 @@
         assert run_scenario(scenario) == 404
 
     def test_503_after_an_outage(self, run_scenario, store):
-        """All hosts that had the turn in memory are lost before it is stored.
+        """All hosts that held a turn in memory are lost before it is stored.
 
-        Whether there was such a turn isn't known; 404 would end its program.
+        Whether the turn existed can't be determined, and 404 would end its program.
         """
 
         async def scenario(hosts):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/__init__.py
@@ -1,1 +1,1 @@
-"""Turns whose history the fleet keeps, and where their prompts lie."""
+"""Stores transcripts of turns, and remembers which targets hold their prompts."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_turn_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_turn_keeper.py
@@ -1,4 +1,8 @@
-"""Turns whose history the fleet keeps."""
+"""Stores and reads the transcripts of turns.
+
+A transcript is written to the rows of the store when its turn ends. While the store is
+unreachable, it may be held in the memory of several hosts instead (`TurnMemory`).
+"""
 
 import hashlib
 from collections import OrderedDict
@@ -24,46 +28,52 @@
 TABLE = "turns"
 
 MAX_CACHE_BYTES = 16_777_216
-"""Transcripts kept in memory; the rest is read from the store."""
+"""Size of the cache of transcripts that are in the store; others are read from
+there."""
 
 MAX_TRANSCRIPT_BYTES = 900_000
-"""What one transaction and one read carry."""
+"""Largest transcript; it has to fit into one transaction and one read."""
 
 ROW_FILL_FRACTION = 0.9
-"""Part of a row that a piece of a transcript fills; the store counts other bytes
-of the row too."""
+"""Fraction of the largest row value that a chunk of a transcript fills. The store
+counts other bytes of the row too."""
 
 STORE_RETRY_AFTER_SECONDS = 1.2
-"""When to come back while the store is away. An outage lasts seconds: who comes back
-sooner has used up its tries before the store is back."""
+"""Retry delay sent to the caller while the store is unreachable. An outage lasts
+seconds; callers that retry sooner use up their attempts before it ends."""
 
 
 class TurnKeeper:
-    """Keeps transcripts: all inputs and outputs up to the end of a turn.
+    """Stores transcripts: all inputs and outputs up to the end of a turn.
 
-    A transcript is stored whole under its turn, so that one read serves the next
-    turn at any host, whichever line it branches off to.
+    The complete transcript is stored under each turn, so that one read suffices for
+    the next turn, at any host and in any branch that continues from it.
 
     Parameters
     ----------
     store : RegionalStore
     row_bytes : int
-        Largest value of a row.
+        Size of the largest value of a row.
     fleet : Fleet
+        The other hosts, as their beacons (periodic status messages) tell.
     peers : PeerClient
+        Calls to other hosts.
     n_copies : int
-        Other hosts that must have a turn in memory while the store is away.
+        Number of other hosts that must hold a turn in memory while the store is
+        unreachable; 0 disables this.
     is_store_reachable : callable
+        Returns whether this host reaches the store.
     no_prior_unstored_turns : callable
-        Tells whether no earlier process of this host can have kept turns in memory
-        that no row has.
+        Returns whether it is certain that no earlier process of this host held turns
+        in memory that were never stored.
     reaper : RowReaper
+        Removes rows once they have expired.
     log : EventLog
 
     Attributes
     ----------
     memory : TurnMemory
-        Turns that can't be stored yet.
+        Turns that couldn't be stored yet.
     """
 
     def __init__(
@@ -108,14 +118,15 @@
         ----------
         request_id, customer, turn : str
         keep_seconds : float
-            For how long such turns are kept.
+            Retention period of the route's turns. An outage within it may have left
+            the turn in some host's memory only.
         homes : frozenset of str or None
-            Regions whose hosts may carry it.
+            Regions in which the transcript may be stored; None for any.
 
         Raises
         ------
         Refusal
-            404 when this customer has no such turn, 503 when that can't be known.
+            404 if this customer has no such turn, 503 if that can't be determined.
         """
         key = turn_key(customer, turn)
         known = self.in_memory(key)
@@ -136,15 +147,20 @@
         if transcript is not None:
             self._cache_transcript(key, transcript)
             return transcript
-        # Whoever kept it in memory may be out of reach: 404 could be wrong.
-        detail = found.detail if isinstance(found, Unavailable) else "no row yet"
+        # A host that holds the turn in memory may be unreachable, so 404 could be
+        # wrong.
+        detail = (
+            found.detail
+            if isinstance(found, Unavailable)
+            else "the store has no row of the turn"
+        )
         self._log.warning(
             "turn_unread", request_id=request_id, turn=turn, detail=detail
         )
         raise Refusal(503, "store_unavailable", STORE_RETRY_AFTER_SECONDS)
 
     def in_memory(self, key: str) -> bytes | None:
-        """Return a transcript that this host has in memory."""
+        """Return a transcript from this host's memory; None if it isn't there."""
         cached = self._cache.get(key)
         if cached is not None:
             self._cache.move_to_end(key)
@@ -159,10 +175,20 @@
         seconds: float,
         homes: Homes = None,
     ) -> bool:
-        """Store a turn that has ended for some time; return whether it will last.
+        """Store a turn that has ended; return whether it is safely kept.
+
+        It counts as safe when it is in the store or, during an outage, when enough
+        hosts hold it in memory. Writing a turn twice changes nothing, so a write whose
+        answer was lost can be repeated.
 
-        Writing it twice changes nothing, so a write whose answer was lost is simply
-        sent again.
+        Parameters
+        ----------
+        customer, turn : str
+        transcript : bytes
+        seconds : float
+            Retention period.
+        homes : frozenset of str or None
+            Regions in which the transcript may be stored; None for any.
         """
         if len(transcript) > MAX_TRANSCRIPT_BYTES:
             self._log.warning("turn_too_long", turn=turn, bytes=len(transcript))
@@ -172,7 +198,7 @@
             self._cache_transcript(key, transcript)
             return True
         if homes is not None:
-            # Other hosts would keep it in memory, in whichever region they are.
+            # The copies could be held by hosts of regions that aren't allowed.
             return False
         return await self.memory.replicate(key, transcript, seconds)
 
@@ -208,6 +234,6 @@
 
 
 def turn_key(customer: str, turn: str) -> str:
-    """Return the key of a turn; another customer's turn has another one."""
+    """Return the store's key of a turn; turns of two customers never share one."""
     text = f"{customer}\0{turn}".encode()
     return hashlib.blake2b(text, digest_size=16).hexdigest()
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_turn_memory.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_turn_memory.py
@@ -1,17 +1,18 @@
-"""Turns that wait in the memory of several hosts while the store is away.
+"""Holds turns in the memory of several hosts while the store is unreachable.
 
-Load pattern: the store is away for seconds while programs go on.
+The store may be unreachable for seconds while programs continue. Without this module,
+the response to each turn would be aborted at its end because its row can't be written,
+and no program of several turns would survive an outage.
 
-Without it: each turn's answer breaks off at its end, as its row can't be written, and
-no program of several turns comes through an outage.
+If the settings ask for copies, a turn counts as saved once that many other hosts hold
+it in memory; hosts of other zones are asked first. After the outage it is stored by the
+host that served it or by one that holds a copy. It is lost if all of these hosts lose
+power before. Copies are therefore disabled by default: a turn whose response was
+complete must survive the loss of all hosts.
 
-Grounds: where the settings ask for copies, a turn counts as kept once so many other
-hosts have it in memory, of other zones first. It is stored when the store is back, by
-this host or by one that has a copy; if all of them lose power before, it is lost. Hence
-no copies unless they are asked for: a turn that was answered must outlive all hosts. A
-host that finds no row says that there is no such turn only if every host is heard and
-none has been without the store for as long as turns are kept; else the turn may wait in
-a memory.
+A host that finds no row of a turn may report it as unknown only if it hears every host
+and none has had an outage of the store within the retention period of turns. Otherwise
+the turn may still be held in memory somewhere.
 """
 
 import asyncio
@@ -31,31 +32,45 @@
 from swifttide_daemon.telemetry import EventLog
 
 MIN_OUTAGE_SECONDS = 0.8
-"""A host keeps turns in memory only when it has been without the store for so long:
-four beacons, by which all that hear it know."""
+"""Time without the store after which a host holds turns in memory. It is the time of
+four beacons (periodic status messages), so that all hosts that hear it know of the
+outage."""
 
 MAX_UNSTORED_BYTES = 16_777_216
-"""Transcripts that wait for the store, own ones and copies; a turn of today's sizes has
-two to ten KB."""
+"""Size of all transcripts that wait for the store, own ones and copies. A turn usually
+has two to ten KB."""
 
 PEER_CALL_TIMEOUT_SECONDS = 0.25
-"""Time for another host to take a copy, or to look for a turn."""
+"""Time-out of calls that make another host take, drop or look up a copy."""
 
 FLUSH_INTERVAL_SECONDS = 0.1
-"""Between looks whether the store is back."""
+"""Interval of checks whether the store is reachable again."""
 
 ORPHAN_DELAY_SECONDS = 1.5
-"""After the store's return, until copies whose origin is gone are stored by the hosts
-that have them: silence must tell that it is gone."""
+"""Delay after an outage before a host stores copies whose origin, the host that served
+the turn, no longer runs. It takes that long until the origin's silence proves this."""
 
 MAX_CONCURRENT_WRITES = 8
-"""Turns that one host writes at the same time; eleven hosts then stay below what the
-store takes."""
+"""Turns that one host writes concurrently. Eleven hosts then stay below the write rate
+that the store accepts."""
 
 
 @dataclass(frozen=True, slots=True)
 class _UnstoredTurn:
-    """A turn that isn't stored yet."""
+    """A turn that isn't stored yet.
+
+    Parameters
+    ----------
+    transcript : bytes
+    keep_seconds : float
+        Retention period of its rows.
+    expires_at : float
+        Time of the event loop, in seconds, after which it is dropped.
+    origin : str
+        Address of the host that served it.
+    origin_boot : str
+        Id of the process that served it.
+    """
 
     transcript: bytes
     keep_seconds: float
@@ -65,21 +80,25 @@
 
 
 class TurnMemory:
-    """Keeps turns until they can be stored, and lets other hosts keep them.
+    """Holds turns until they can be stored, and replicates them to other hosts.
 
     Parameters
     ----------
     fleet : Fleet
+        The other hosts, as their beacons tell.
     peers : PeerClient
+        Calls to other hosts.
     n_copies : int
-        Other hosts that must have a turn in memory; 0: none is kept there.
+        Number of other hosts that must hold a turn in memory; 0 disables holding turns
+        in memory.
     is_store_reachable : callable
+        Returns whether this host reaches the store.
     no_prior_unstored_turns : callable
-        Tells whether no earlier process of this host can have kept turns in memory
-        that no row has.
+        Returns whether it is certain that no earlier process of this host held turns
+        in memory that were never stored.
     store : callable
-        Takes a turn's key, its transcript and for how long it is kept; returns whether
-        it is stored.
+        Takes a turn's key, its transcript and its retention period in seconds; returns
+        whether it was stored.
     log : EventLog
     """
 
@@ -110,19 +129,29 @@
         return len(self._unstored)
 
     def find(self, key: str) -> bytes | None:
-        """Return a transcript that waits here."""
+        """Return a transcript that waits here for the store; None if there is none."""
         turn = self._unstored.get(key)
         return turn.transcript if turn else None
 
     def may_be_held_in_memory(self, keep_seconds: float) -> bool:
-        """Whether a turn without a row may wait for the store in some memory."""
+        """Return whether a turn without a row may be held in some host's memory.
+
+        Parameters
+        ----------
+        keep_seconds : float
+            Retention period of turns; earlier outages don't matter.
+        """
         away = self.seconds_since_outage()
         if away is not None and away < keep_seconds:
             return True
         return self._fleet.may_have_been_away(keep_seconds)
 
     def seconds_since_outage(self) -> float | None:
-        """Return since when this host has had the store, None if ever since."""
+        """Return the seconds since this host last lacked the store.
+
+        0 while an earlier process may have held unstored turns; None if there has been
+        no outage since this process started.
+        """
         if not self._no_prior_unstored_turns():
             return 0.0
         if self._last_outage_at is None:
@@ -130,7 +159,7 @@
         return asyncio.get_running_loop().time() - self._last_outage_at
 
     async def fetch_from_peers(self, key: str) -> bytes | None:
-        """Return a transcript that another host has in memory."""
+        """Return a transcript from another host's memory; None if no host has it."""
         peers = self._fleet.alive()
         calls = [
             self._peers.call(p, ReadTurn(key), PEER_CALL_TIMEOUT_SECONDS) for p in peers
@@ -142,14 +171,22 @@
         return None
 
     def _is_outage_known_to_peers(self) -> bool:
-        """Whether the other hosts know that this one is without the store."""
+        """Return whether the outage has lasted long enough for peers to know of it."""
         if self._outage_started_at is None:
             return False
         now = asyncio.get_running_loop().time()
         return now - self._outage_started_at >= MIN_OUTAGE_SECONDS
 
     async def replicate(self, key: str, transcript: bytes, seconds: float) -> bool:
-        """Keep a turn here and at other hosts; return whether enough do."""
+        """Hold a turn here and at other hosts; return whether enough of them hold it.
+
+        Parameters
+        ----------
+        key : str
+        transcript : bytes
+        seconds : float
+            Retention period.
+        """
         if not self._n_copies or not self._is_outage_known_to_peers():
             return False
         own = self._fleet.own
@@ -162,7 +199,7 @@
         return n_kept >= n_wanted
 
     async def _send_copies(self, copy, n_wanted) -> int:
-        """Give copies to hosts until enough have taken one; return how many have."""
+        """Send a copy to hosts until enough hold it; return how many do."""
         n_kept = 0
         peers = self._fleet.elsewhere()
         while peers and n_kept < n_wanted:
@@ -176,7 +213,7 @@
         return n_kept
 
     def accept_copy(self, copy: KeepCopy) -> bool:
-        """Keep a turn until the store is back; return whether this host does."""
+        """Hold a turn until it can be stored; return whether this host holds it."""
         if not self._is_outage_known_to_peers():
             return False
         size = len(copy.transcript)
@@ -196,14 +233,14 @@
         return True
 
     def drop_copies(self, turns: list[str]) -> None:
-        """Forget turns that are stored."""
+        """Drop turns that another host has stored, or that have expired."""
         for key in turns:
             turn = self._unstored.pop(key, None)
             if turn is not None:
                 self._unstored_bytes -= len(turn.transcript)
 
     async def run(self) -> None:
-        """Store what waits whenever the store is back."""
+        """Store the held turns whenever the store is reachable; never returns."""
         loop = asyncio.get_running_loop()
         while True:
             self._track_store(loop.time())
@@ -255,7 +292,7 @@
         return await self._store(key, turn.transcript, turn.keep_seconds)
 
     async def hand_over(self) -> None:
-        """Give other hosts what waits here, as this one stops."""
+        """Send all held turns to other hosts, before this host stops."""
         send = functools.partial(self._send_copies, n_wanted=max(1, self._n_copies))
         copies = [
             KeepCopy(key, w.transcript, w.keep_seconds, w.origin, w.origin_boot)
