--- a/packages/swifttide_core/src/swifttide_core/programs/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/__init__.py
@@ -2,7 +2,7 @@
 
 from swifttide_core.programs._budget_rules import (
     check_limits,
-    keep_unknown,
+    count_unknown_as_spent,
     reserve,
     settle,
 )
@@ -88,7 +88,7 @@
     "WriteRows",
     "check_limits",
     "decide_turn",
-    "keep_unknown",
+    "count_unknown_as_spent",
     "reserve",
     "settle",
     "start_turn",
--- a/packages/swifttide_core/src/swifttide_core/programs/_budget_rules.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_budget_rules.py
@@ -89,7 +89,7 @@
     )
 
 
-def keep_unknown(root: ProgramRow) -> ProgramRow:
+def count_unknown_as_spent(root: ProgramRow) -> ProgramRow:
     """Return the root's row as a new holder takes it over.
 
     Reservations of the former holder may have been used up; nobody can tell.
--- a/packages/swifttide_core/src/swifttide_core/programs/_turn.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_turn.py
@@ -53,17 +53,17 @@
     ahead_term: int = 0
 
     @property
-    def missing(self) -> int:
+    def tokens_to_reserve(self) -> int:
         """Tokens that must be reserved besides those left by an earlier commit."""
         return max(0, self.tokens - self.ahead)
 
     @property
-    def reserved(self) -> int:
+    def reserved_tokens(self) -> int:
         """Tokens that are reserved while the turn runs."""
         return max(self.tokens, self.ahead)
 
     @property
-    def keys(self) -> tuple[str, ...]:
+    def row_keys(self) -> tuple[str, ...]:
         """Keys of the rows that decide about it, the root's last."""
         if self.new_program.is_root:
             return (self.new_root.key,)
--- a/packages/swifttide_core/src/swifttide_core/programs/_turn_machine.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_turn_machine.py
@@ -17,7 +17,7 @@
 
 from swifttide_core.programs._budget_rules import (
     check_limits,
-    keep_unknown,
+    count_unknown_as_spent,
     reserve,
     settle,
 )
@@ -63,10 +63,10 @@
 )
 from swifttide_core.verdicts import Reason, Refusal, Verdict
 
-RETRY_PLATFORM_SECONDS = 2.0
+PLATFORM_RETRY_SECONDS = 2.0
 """A renewal period: by then a host that lost the platform knows whether it is back."""
 
-RETRY_HOLDER_SECONDS = 0.5
+HOLDER_CHANGE_RETRY_SECONDS = 0.5
 """A claim takes one transaction; by then the new holder answers."""
 
 
@@ -95,7 +95,7 @@
         step = _decide(turn, *_program_and_root(turn, known))
         if not isinstance(step.state, Settled):
             return step
-    return TurnStep(ReadingRows(turn), (ReadRows(turn.keys),))
+    return TurnStep(ReadingRows(turn), (ReadRows(turn.row_keys),))
 
 
 def step_turn(state: TurnState, event: TurnEvent) -> TurnStep:
@@ -135,7 +135,7 @@
         case RowsRead(rows):
             return _decide(state.turn, *_program_and_root(state.turn, rows))
         case StoreFailed():
-            return _refuse(_no_platform())
+            return _refuse(_platform_unavailable())
         case SlotLost():
             return _refuse(_not_holder())
         case TurnGivenUp(refusal):
@@ -172,16 +172,16 @@
     if beyond is not None:
         return _refuse(beyond)
     if root.holder != turn.holder:
-        root = keep_unknown(root)
+        root = count_unknown_as_spent(root)
         root = replace(root, holder=turn.holder, term=root.term + 1)
     if root.term != turn.ahead_term:
         # Another holder has served the program since; it counted what was left
         # reserved as spent with the rest.
         turn = replace(turn, ahead=0)
-    result = reserve(root, turn.profile, turn.missing)
+    result = reserve(root, turn.profile, turn.tokens_to_reserve)
     if result.is_error():
         return _refuse(result.error)
-    if turn.missing == 0:
+    if turn.tokens_to_reserve == 0:
         return _run(turn, number, program, root)
     state = Reserving(turn, number, program, result.ok)
     return TurnStep(state, (_write_reservation(state),))
@@ -226,9 +226,9 @@
             )
             return TurnStep(storing, (PutChunk(turn.chunk_name(state.number)),))
         case ModelUnreached(refusal):
-            if turn.missing == 0:
+            if turn.tokens_to_reserve == 0:
                 return _refuse(refusal)
-            freed = settle(state.root, turn.missing, used=0, turns=0)
+            freed = settle(state.root, turn.tokens_to_reserve, used=0, turns=0)
             return _write_release(Releasing(turn, freed, refusal))
         case ModelFailed():
             return _refuse(_unknown(Reason.TARGET_FAILED, "the engine didn't finish"))
@@ -252,8 +252,8 @@
 
 def _commit(stored: Storing, program: ProgramRow, root: ProgramRow) -> TurnStep:
     turn = stored.turn
-    root = settle(root, turn.reserved, stored.used)
-    ahead = _next_reservation(turn, root)
+    root = settle(root, turn.reserved_tokens, stored.used_tokens)
+    ahead = _tokens_to_keep_reserved(turn, root)
     root = replace(
         root,
         budget_reserved=root.budget_reserved + ahead,
@@ -267,20 +267,20 @@
         turns=stored.number,
         last_body_hash=turn.request.body_hash,
         chunks=(*program.chunks, turn.chunk_name(stored.number)),
-        total_tokens=program.total_tokens + stored.used,
-        targets=_with_target(program.targets, stored.target),
+        total_tokens=program.total_tokens + stored.used_tokens,
+        targets=_add_target(program.targets, stored.target),
     )
     rows = (program,) if program.is_root else (program, root)
     state = Committing(stored, rows, ahead)
     return TurnStep(state, (_write_commit(state),))
 
 
-def _next_reservation(turn: Turn, root: ProgramRow) -> int:
+def _tokens_to_keep_reserved(turn: Turn, root: ProgramRow) -> int:
     left = turn.profile.budget_tokens - root.budget_used - root.budget_reserved
     return max(0, min(turn.tokens, left))
 
 
-def _with_target(targets: tuple[str, ...], target: str) -> tuple[str, ...]:
+def _add_target(targets: tuple[str, ...], target: str) -> tuple[str, ...]:
     if not target or target in targets:
         return targets
     return (*targets, target)
@@ -299,14 +299,14 @@
             return _reply(stored, state.ahead, state.rows[-1].term)
         case RowsConflict():
             # A sub-agent settled on the same root, or another holder took over.
-            read = ReadRows(stored.turn.keys)
-            return TurnStep(replace(state, reading=True), (read,))
-        case RowsRead(rows) if state.reading:
-            return _commit_again(stored, *_program_and_root(stored.turn, rows))
+            read = ReadRows(stored.turn.row_keys)
+            return TurnStep(replace(state, is_rereading=True), (read,))
+        case RowsRead(rows) if state.is_rereading:
+            return _retry_commit(stored, *_program_and_root(stored.turn, rows))
         case SlotLost():
             return _refuse(_unknown(Reason.NOT_HOLDER, "another host took over"))
-        case StoreFailed() if state.reading:
-            return TurnStep(state, (ReadRows(stored.turn.keys),))
+        case StoreFailed() if state.is_rereading:
+            return TurnStep(state, (ReadRows(stored.turn.row_keys),))
         case StoreFailed():
             return TurnStep(state, (_write_commit(state),))
         case TurnGivenUp(refusal):
@@ -315,7 +315,7 @@
             return TurnStep(state)
 
 
-def _commit_again(stored: Storing, program: ProgramRow, root: ProgramRow) -> TurnStep:
+def _retry_commit(stored: Storing, program: ProgramRow, root: ProgramRow) -> TurnStep:
     if stored.turn.chunk_name(stored.number) in program.chunks:
         return _reply(stored)
     match decide_turn(program, replace(stored.turn.request, turn=stored.number)):
@@ -356,11 +356,11 @@
             return TurnStep(state)
 
 
-def _no_platform() -> Refusal:
+def _platform_unavailable() -> Refusal:
     return Refusal(
         Reason.PLATFORM_UNAVAILABLE,
         "the program's row can't be read, so the turn wasn't sent",
-        retry_after_seconds=RETRY_PLATFORM_SECONDS,
+        retry_after_seconds=PLATFORM_RETRY_SECONDS,
     )
 
 
@@ -368,7 +368,7 @@
     return Refusal(
         Reason.NOT_HOLDER,
         "another host has taken the program over",
-        retry_after_seconds=RETRY_HOLDER_SECONDS,
+        retry_after_seconds=HOLDER_CHANGE_RETRY_SECONDS,
     )
 
 
@@ -377,5 +377,5 @@
         reason,
         f"{detail}; send the same turn again to get its answer or to run it",
         verdict=Verdict.MAY_HAVE_RUN,
-        retry_after_seconds=RETRY_HOLDER_SECONDS,
+        retry_after_seconds=HOLDER_CHANGE_RETRY_SECONDS,
     )
--- a/packages/swifttide_core/src/swifttide_core/programs/_turn_order.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_turn_order.py
@@ -11,7 +11,7 @@
 from swifttide_core.programs._turn_request import TurnRequest
 from swifttide_core.verdicts import Reason, Refusal, Verdict
 
-RETRY_OUT_OF_ORDER_SECONDS = 1.0
+OUT_OF_ORDER_RETRY_SECONDS = 1.0
 """An earlier turn that is still on its way usually arrives within this."""
 
 
@@ -60,13 +60,13 @@
     if req.turn <= row.turns:
         return _decide_committed(row, req)
     if row.state is ProgramState.ENDED:
-        return _ended()
+        return _program_ended()
     if req.turn > row.turns + 1 and not req.gaps:
         return RefuseTurn(
             Refusal(
                 Reason.OUT_OF_ORDER,
                 f"got turn {req.turn}, expected turn {row.turns + 1}",
-                retry_after_seconds=RETRY_OUT_OF_ORDER_SECONDS,
+                retry_after_seconds=OUT_OF_ORDER_RETRY_SECONDS,
             )
         )
     return RunTurn(req.turn)
@@ -74,7 +74,7 @@
 
 def _decide_unnumbered(row: ProgramRow) -> TurnDecision:
     if row.state is ProgramState.ENDED:
-        return _ended()
+        return _program_ended()
     return RunTurn(row.turns + 1)
 
 
@@ -93,5 +93,5 @@
     )
 
 
-def _ended() -> RefuseTurn:
+def _program_ended() -> RefuseTurn:
     return RefuseTurn(Refusal(Reason.PROGRAM_ENDED, "the program has ended"))
--- a/packages/swifttide_core/src/swifttide_core/programs/_turn_state.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_turn_state.py
@@ -42,7 +42,7 @@
     number: int
     program: ProgramRow
     root: ProgramRow
-    used: int
+    used_tokens: int
     target: str
 
 
@@ -63,7 +63,7 @@
     stored: Storing
     rows: tuple[ProgramRow, ...]
     ahead: int = 0
-    reading: bool = False
+    is_rereading: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/swifttide_core/src/swifttide_core/programs/tests/test_budget_rules.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/tests/test_budget_rules.py
@@ -4,7 +4,7 @@
 from swifttide_core.programs import (
     ProgramRow,
     check_limits,
-    keep_unknown,
+    count_unknown_as_spent,
     reserve,
     settle,
 )
@@ -15,7 +15,7 @@
 
 
 class TestReserve:
-    def test_turns_in_flight_count(self):
+    def test_reservations_of_turns_in_flight_count(self):
         """Sub-agents run side by side. Checked against settled tokens alone, each
         would find the budget free and together they would overspend it.
         """
@@ -23,30 +23,30 @@
         refused = reserve(row, PROFILE, 60)
         assert refused.error.reason is Reason.BUDGET
 
-    def test_settled_turn_frees_what_it_did_not_use(self):
+    def test_settling_releases_unused_tokens(self):
         row = settle(reserve(ROOT, PROFILE, 60).ok, reserved=60, used=10)
         assert reserve(row, PROFILE, 90).is_ok()
         assert reserve(row, PROFILE, 91).is_error()
 
-    def test_looping_program_runs_out_of_turns(self):
+    def test_program_exceeds_its_turn_limit(self):
         row = ROOT
         for _ in range(PROFILE.max_turns):
             row = settle(reserve(row, PROFILE, 1).ok, reserved=1, used=0)
         assert reserve(row, PROFILE, 1).error.reason is Reason.BUDGET
 
 
-class TestKeepUnknown:
-    def test_dead_holders_reservation_stays_spent(self):
+class TestCountUnknownAsSpent:
+    def test_reservation_of_dead_holder_counts_as_spent(self):
         """A host dies while a turn streams. The tokens that the engine made are on
         the bill; a new holder that forgot them would let the program overspend.
         """
-        row = keep_unknown(reserve(ROOT, PROFILE, 60).ok)
+        row = count_unknown_as_spent(reserve(ROOT, PROFILE, 60).ok)
         assert (row.budget_used, row.budget_reserved) == (60, 0)
         assert reserve(row, PROFILE, 41).is_error()
 
 
 class TestCheckLimits:
-    def test_program_that_never_ends_runs_out_of_time(self):
+    def test_program_exceeds_its_time_limit(self):
         """A tool never answers and the program asks again for days. Its turns are
         few and short, so neither tokens nor turns would ever end it.
         """
@@ -55,7 +55,7 @@
         assert check_limits(row, profile, now=1060.0) is None
         assert check_limits(row, profile, now=1061.0).reason is Reason.BUDGET
 
-    def test_calls_since_the_last_commit_count(self):
+    def test_calls_since_last_commit_count(self):
         """A program loops over a plain service between two turns."""
         profile = Profile("p", max_calls=5)
         row = ProgramRow("c", "p", "p", root_calls=3)
--- a/packages/swifttide_core/src/swifttide_core/programs/tests/test_turn_order.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/tests/test_turn_order.py
@@ -23,23 +23,23 @@
         assert decide_turn(ROW, TurnRequest(3, "three")) == RunTurn(3)
         assert decide_turn(ROW, TurnRequest(None, "three")) == RunTurn(3)
 
-    def test_turn_sent_again_gets_its_stored_answer(self):
+    def test_repeated_turn_gets_its_stored_answer(self):
         """The answer of a turn was committed, then the connection to the caller broke.
         The caller sends the turn again and must get that answer, not a second run.
         """
         assert decide_turn(ROW, TurnRequest(2, "two")) == ReplayTurn(2, "chunk2")
 
-    def test_other_body_under_a_committed_number_is_refused(self):
+    def test_different_body_for_a_committed_turn_is_refused(self):
         decision = decide_turn(ROW, TurnRequest(2, "other"))
         assert isinstance(decision, RefuseTurn)
         assert decision.refusal.verdict is Verdict.NOT_RUN
 
-    def test_turn_too_early_comes_back_later(self):
+    def test_early_turn_is_refused_with_retry_delay(self):
         decision = decide_turn(ROW, TurnRequest(4, "four"))
         assert decision.refusal.reason is Reason.OUT_OF_ORDER
         assert decision.refusal.retry_after_seconds > 0
 
-    def test_turns_that_ran_during_an_outage_leave_a_gap(self):
+    def test_gap_is_accepted_after_turns_ran_unrecorded(self):
         """The platform was away for some turns of a program whose callers hold its
         history. Refusing the next turn would end the program for good.
         """
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
@@ -99,7 +99,7 @@
 
     def run(self) -> Finished | Failed:
         """Take the turn to its end."""
-        known = self.book.known_rows(self.permit.call, self.turn.keys)
+        known = self.book.known_rows(self.permit.call, self.turn.row_keys)
         step = start_turn(self.turn, known)
         run = self.recorder.start(TURN, (self.turn, known), step.actions)
         state = step.state
@@ -187,7 +187,7 @@
             if history.is_error():
                 return history.error
             messages = (*history.ok, *messages)
-        rows = self.book.known_rows(self.permit.call, self.turn.keys[:1])
+        rows = self.book.known_rows(self.permit.call, self.turn.row_keys[:1])
         row = rows[0] if rows else self.turn.new_program
         exported, self.entry.exported = self.entry.exported, None
         return Prompt(
--- a/tests/fuzz/test_turns_fuzz.py
+++ b/tests/fuzz/test_turns_fuzz.py
@@ -136,7 +136,7 @@
             ahead=ahead.tokens,
             ahead_term=ahead.term,
         )
-        known = book.known_rows(TREE, turn.keys)
+        known = book.known_rows(TREE, turn.row_keys)
         attempt = Attempt(
             name, program, host, book, turn, body, start_turn(turn, known)
         )
