--- a/packages/swifttide_core/src/swifttide_core/programs/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/__init__.py
@@ -1,4 +1,9 @@
-"""Programs: order of turns, history and budget."""
+"""State machine of chat turns, with the order of turns and the budget of programs.
+
+A program is a sequence of calls by which a caller pursues one task; a turn is one of
+its calls to a model. A root program may start sub-agents, which are programs that share
+its budget.
+"""
 
 from swifttide_core.programs._budget_rules import (
     check_limits,
--- a/packages/swifttide_core/src/swifttide_core/programs/_budget_rules.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_budget_rules.py
@@ -1,9 +1,11 @@
-"""Reservation and settling of a root program's budget.
-
-Without it a program that loops, or a sub-agent that starts sub-agents, spends without
-end; and a host that dies in the middle of a turn would lose count of what that turn
-used. What may be in flight is therefore reserved in the row BEFORE it is dispatched,
-and a reservation whose outcome nobody knows stays spent.
+"""Reserves and settles the budget of a root program.
+
+The budget limits the tokens, turns, calls and running time of a root program together
+with its sub-agents. Without it, a program that loops, or a sub-agent that starts
+sub-agents, could spend without limit. If only finished turns were counted, a host that
+dies during a turn would lose count of the tokens that the turn used. The tokens that a
+turn may use are therefore reserved in the root's row before the turn is dispatched, and
+a reservation whose outcome is unknown counts as spent.
 """
 
 from dataclasses import replace
@@ -18,10 +20,10 @@
 def check_limits(
     root: ProgramRow, profile: Profile, now: float, calls: int = 0
 ) -> Refusal | None:
-    """Return why a program gets no further turn or call, or None.
+    """Return the refusal of a program beyond its time or call limit, or None.
 
-    Tokens alone don't end a program that loops over cheap calls, or one whose tool
-    never answers.
+    These limits end a program that loops over cheap calls, or whose tool never answers.
+    The token budget wouldn't.
 
     Parameters
     ----------
@@ -32,7 +34,7 @@
     now : float
         Wall-clock seconds.
     calls : int
-        Calls of plain services since the root's last commit.
+        Calls to services other than models since the last commit of the root's row.
     """
     age = now - root.started_at
     if root.started_at and age > profile.max_program_seconds:
@@ -49,12 +51,12 @@
 def reserve(
     root: ProgramRow, profile: Profile, tokens: int
 ) -> Result[ProgramRow, Refusal]:
-    """Return the root's row with `tokens` more reserved, or why not.
+    """Return the root's row with `tokens` more reserved, or the refusal.
 
     Parameters
     ----------
     root : ProgramRow
-        Row of the root, with every reservation of turns in flight.
+        Row of the root, including the reservations of all turns in flight.
     profile : Profile
         Limits of the program.
     tokens : int
@@ -80,7 +82,19 @@
 
 
 def settle(root: ProgramRow, reserved: int, used: int, turns: int = 1) -> ProgramRow:
-    """Return the root's row after a turn that had `reserved` used `used` tokens."""
+    """Return the root's row after a turn.
+
+    Parameters
+    ----------
+    root : ProgramRow
+        Row of the root.
+    reserved : int
+        Tokens that were reserved for the turn.
+    used : int
+        Tokens that it used.
+    turns : int
+        Turns to add to the root's count; 0 if the turn didn't run.
+    """
     return replace(
         root,
         budget_reserved=root.budget_reserved - reserved,
@@ -90,9 +104,10 @@
 
 
 def count_unknown_as_spent(root: ProgramRow) -> ProgramRow:
-    """Return the root's row as a new holder takes it over.
+    """Return the root's row with all reservations counted as spent.
 
-    Reservations of the former holder may have been used up; nobody can tell.
+    A new holder of the program applies this when it takes over. The turns of the former
+    holder may have used their reservations, and their outcome can't be determined.
     """
     return replace(
         root,
--- a/packages/swifttide_core/src/swifttide_core/programs/_program_row.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_program_row.py
@@ -5,7 +5,7 @@
 
 
 class ProgramState(StrEnum):
-    """Life of a program."""
+    """Whether a program accepts further calls."""
 
     OPEN = "open"
     ENDED = "ended"
@@ -13,7 +13,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgramRow:
-    """What lasts of a program besides the chunks of its history.
+    """Persistent state of a program, apart from the chunks of its history.
+
+    Fields described as "of the root" are valid only in the row of a root program.
 
     Parameters
     ----------
@@ -23,41 +25,46 @@
     root : str
         Id of the root program; its own id for a root.
     parent : str
-        Id of the program that started it; empty for a root.
+        Id of the program that started this one; empty for a root.
     profile : str
-        Profile that its first call named.
+        Name of the profile that its first call gave.
     zone : str
         Availability zone that served its last turn.
     turns : int
         Committed turns.
     last_body_hash : str
-        Hash of the last committed turn's request: the same turn sent again gets the
+        Hash of the body of the last committed turn. The same turn sent again gets the
         stored answer.
     chunks : tuple of str
-        Object names of the committed turns, in order.
+        Names of the objects that store the committed turns, in order.
     total_tokens : int
-        Tokens of the history.
+        Length of the history in tokens.
     budget_used, budget_reserved : int
-        Of the root: tokens settled, and reserved for turns that may be in flight.
+        Of the root: tokens used by finished turns, and tokens reserved for turns that
+        may be in flight.
     root_turns : int
-        Of the root: turns of the program and its sub-agents.
+        Of the root: number of turns of the program and its sub-agents.
     root_calls : int
-        Of the root: calls of plain services, as of the last commit.
+        Of the root: number of calls to services other than models, as of the last
+        commit.
     started_at : float
         Of the root: wall-clock seconds of its first turn; 0 when unknown.
     targets : tuple of str
-        Engines that may hold its cache.
+        Engines (model servers) that may hold the program's prompt cache.
     holder : str
-        Of the root: slot, zone and epoch that made the reservations. Another holder
-        counts them as spent, since nobody can tell what became of those turns.
+        Of the root: zone, slot and epoch under which the reservations were made; a slot
+        is a partition of the programs that one host at a time serves. Another holder
+        counts the reservations as spent, since the outcome of those turns can't be
+        determined.
     term : int
-        Of the root: counts changes of the holder. A zone can serve a program, lose
-        it to another zone and get it back while one of its turns is still running;
-        that turn's reservation was counted as spent in between.
+        Of the root: number of changes of the holder. A zone can serve a program, lose
+        it to another zone and get it back while a turn is still running. That turn's
+        reservation was counted as spent in between, which the holder's name doesn't
+        show.
     state : ProgramState
-        An ended program takes no more calls.
+        An ended program accepts no further calls.
     version : int
-        Version of the row; 0 when there is none yet.
+        Version of the stored row; 0 if there is none yet.
     """
 
     customer: str
@@ -88,5 +95,5 @@
 
     @property
     def is_root(self) -> bool:
-        """Whether order and budget are decided by this row itself."""
+        """Whether this is the row of a root program, which holds the budget."""
         return self.root == self.program
--- a/packages/swifttide_core/src/swifttide_core/programs/_turn.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_turn.py
@@ -1,4 +1,4 @@
-"""A turn on its way through the scheduler."""
+"""One attempt at a turn, as it passes through the turn's state machine."""
 
 from dataclasses import dataclass
 
@@ -9,21 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """One attempt at a turn.
+    """One attempt at a turn; its fields don't change while it runs.
 
     Parameters
     ----------
     attempt : str
-        Unique id of this attempt; part of its chunk's name, so that two attempts
+        Unique id of this attempt. It is part of the chunk's name, so that two attempts
         never write the same object.
     holder : str
-        Zone, slot and epoch under which it is served.
+        Zone, slot and epoch under which this host serves the program.
     zone : str
-        Availability zone that serves it.
+        Availability zone that serves the turn.
     request : TurnRequest
-        What the caller sent.
+        The turn as the caller sent it.
     new_program, new_root : ProgramRow
-        Rows to start from when the platform has none yet.
+        Initial rows of the program and its root, for when none are stored yet.
     profile : Profile
         Limits of the program.
     tokens : int
@@ -31,12 +31,14 @@
     now : float
         Wall-clock seconds.
     calls : int
-        Calls of plain services of the tree since its last commit.
+        Calls to services other than models, by the root and its sub-agents, since the
+        last commit of the root's row.
     ahead : int
-        Tokens that an earlier commit of this holder left reserved and that nobody
-        else uses: a turn that they suffice for needs no write before it runs.
+        Tokens that an earlier commit of this holder left reserved for the next turn and
+        that no other turn uses. If they suffice, the turn needs no write before it
+        runs.
     ahead_term : int
-        Term of the root's row under which they were left.
+        Term of the root's row under which `ahead` was reserved.
     """
 
     attempt: str
@@ -54,7 +56,7 @@
 
     @property
     def tokens_to_reserve(self) -> int:
-        """Tokens that must be reserved besides those left by an earlier commit."""
+        """Tokens to be reserved in addition to those left by an earlier commit."""
         return max(0, self.tokens - self.ahead)
 
     @property
@@ -64,11 +66,17 @@
 
     @property
     def row_keys(self) -> tuple[str, ...]:
-        """Keys of the rows that decide about it, the root's last."""
+        """Keys of the rows that the turn depends on; the root's is the last."""
         if self.new_program.is_root:
             return (self.new_root.key,)
         return (self.new_program.key, self.new_root.key)
 
     def chunk_name(self, number: int) -> str:
-        """Return the object name of its chunk of the history."""
+        """Return the object name of this attempt's chunk of the history.
+
+        Parameters
+        ----------
+        number : int
+            Number of the turn.
+        """
         return f"{self.new_program.key}/{number:06d}-{self.attempt}"
--- a/packages/swifttide_core/src/swifttide_core/programs/_turn_action.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_turn_action.py
@@ -1,4 +1,7 @@
-"""What a turn asks of its surroundings."""
+"""Actions that the turn's state machine asks its runner to perform.
+
+The runner reports the outcome of an action as an event.
+"""
 
 from dataclasses import dataclass
 
@@ -8,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRows:
-    """Read these rows."""
+    """Read the rows with these keys."""
 
     keys: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRows:
-    """Write all rows if each still has its version.
+    """Write all rows in one transaction, if each still has the version it was read at.
 
     Parameters
     ----------
     rows : tuple of ProgramRow
-        New rows; each carries the version that it was read at.
+        New rows, each with the version at which it was read.
     transaction : str
-        Id of the transaction; sent again it returns the first outcome.
+        Id of the transaction. Sending it again returns the first outcome.
     """
 
     rows: tuple[ProgramRow, ...]
@@ -31,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RunModel:
-    """Send the turn to an engine, after this history.
+    """Send the turn to an engine (model server), with the history before it.
 
     Parameters
     ----------
     number : int
         Number of the turn.
     chunks : tuple of str
-        Object names of the turns before it.
+        Object names of the turns before it, in order.
     """
 
     number: int
@@ -54,18 +57,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyTurn:
-    """Give the caller the final event; the turn is committed under this name.
+    """Send the caller the final event of a committed turn.
 
     Parameters
     ----------
     number : int
         Number of the turn.
     chunk : str
-        Object name of the turn.
+        Object name of the turn's chunk.
     ahead : int
         Tokens that the commit left reserved for the next turn.
     term : int
-        Term of the root's row under which it did.
+        Term of the root's row under which `ahead` was reserved.
     """
 
     number: int
@@ -76,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseRequest:
-    """Give the caller a refusal."""
+    """Answer the caller with a refusal."""
 
     refusal: Refusal
 
--- a/packages/swifttide_core/src/swifttide_core/programs/_turn_event.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_turn_event.py
@@ -1,4 +1,4 @@
-"""What a turn is told by its surroundings."""
+"""Events that a turn's state machine receives from its runner."""
 
 from dataclasses import dataclass
 
@@ -8,31 +8,34 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsRead:
-    """The rows of the turn's keys were read, in their order; None where absent."""
+    """The turn's rows were read, in the order of the keys; None for absent rows."""
 
     rows: tuple[ProgramRow | None, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RowsWritten:
-    """The last transaction took effect and made these versions, in its order."""
+    """The last transaction took effect; one new version for each of its rows."""
 
     versions: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RowsConflict:
-    """The last transaction never takes effect: a row has changed since it was read."""
+    """The last transaction will never take effect: a row has changed since its read."""
 
 
 @dataclass(frozen=True, slots=True)
 class SlotLost:
-    """The last transaction never takes effect: another host has claimed the slot."""
+    """The last transaction will never take effect: another host has claimed the slot.
+
+    A slot is a partition of the programs; one host at a time serves it.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class StoreFailed:
-    """No answer from the platform; the last write may have taken effect."""
+    """The platform's store didn't answer; the last write may have taken effect."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelAnswered:
-    """The engine's answer is whole.
+    """The engine's answer is complete.
 
     Parameters
     ----------
     used : int
         Tokens that the turn adds to the history.
     target : str
-        Engine that ran it and may hold the program's cache.
+        Engine that ran the turn and may hold the program's prompt cache.
     """
 
     used: int
@@ -63,7 +66,7 @@
     Parameters
     ----------
     refusal : Refusal
-        Why, with when to come back.
+        Reason, with the delay after which to retry.
     """
 
     refusal: Refusal
@@ -71,17 +74,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelFailed:
-    """An engine got the turn and no whole answer came back."""
+    """An engine received the turn, and its answer is missing or incomplete."""
 
 
 @dataclass(frozen=True, slots=True)
 class TurnGivenUp:
-    """The turn's time is up, or its caller is gone.
+    """The turn's deadline has passed, or its caller has disconnected.
 
     Parameters
     ----------
     refusal : Refusal
-        Why, as a refusal of a turn that hasn't been dispatched.
+        Reason, worded for a turn that hasn't been dispatched.
     """
 
     refusal: Refusal
--- a/packages/swifttide_core/src/swifttide_core/programs/_turn_machine.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_turn_machine.py
@@ -1,16 +1,20 @@
-"""The steps of a chat turn: read, reserve, run, store, commit, answer.
-
-What goes wrong without it: the caller gets the final event before the turn is
-committed, and the host dies, so that the next turn goes on from a history without it;
-or a holder that was paused commits after its successor did, and one of two answers
-vanishes. The caller therefore gets the final event only after ONE transaction
-that is conditional on the program's rows and on the slot has taken effect, and the
-chunk it points to was stored before. A chunk's name holds its attempt's id, so that no
-attempt can overwrite another's.
-
-An unknown outcome is settled by sending the same transaction again, which returns its
-first outcome, and otherwise told as ``may_have_run``: sending the same turn again then
-either gets the stored answer or runs it.
+"""State machine of a chat turn: read, reserve, run, store, commit, answer.
+
+`start_turn` and `step_turn` are pure functions: they take events and return the next
+state and the actions to perform. The machine prevents two faults. If the caller got the
+final event before the turn is committed and the host died in between, the next turn
+would continue from a history without it. If a paused holder committed after its
+successor did, one of two answers would be lost.
+
+The final event is therefore sent only after one transaction, conditional on the
+versions of the program's rows and on the slot, has taken effect. The chunk to which it
+refers is stored before. A chunk's name contains the id of its attempt, so that no
+attempt can overwrite the chunk of another.
+
+The outcome of a write whose answer was lost is determined by sending the same
+transaction again, which returns the first outcome. If the outcome of a turn remains
+unknown, the caller is told ``may_have_run``. Sending the same turn again then either
+returns the stored answer or runs the turn.
 """
 
 from dataclasses import dataclass, replace
@@ -64,15 +68,16 @@
 from swifttide_core.verdicts import Reason, Refusal, Verdict
 
 PLATFORM_RETRY_SECONDS = 2.0
-"""A renewal period: by then a host that lost the platform knows whether it is back."""
+"""Renewal period of leases. Within it, a host that lost its connection to the platform
+finds out whether the platform is reachable again."""
 
 HOLDER_CHANGE_RETRY_SECONDS = 0.5
-"""A claim takes one transaction; by then the new holder answers."""
+"""Time within which a new holder answers: claiming a slot takes one transaction."""
 
 
 @dataclass(frozen=True, slots=True)
 class TurnStep:
-    """State after an event, and what is to be done next, in order."""
+    """State after an event, and the actions to perform next, in order."""
 
     state: TurnState
     actions: tuple[TurnAction, ...] = ()
@@ -81,15 +86,18 @@
 def start_turn(
     turn: Turn, known: tuple[ProgramRow | None, ...] | None = None
 ) -> TurnStep:
-    """Begin a turn; no other turn of its program may be under way at this host.
+    """Return the first step of a turn.
+
+    No other turn of its program may be in progress at this host.
 
     Parameters
     ----------
     turn : Turn
     known : tuple of ProgramRow or None, or None
-        Rows of the turn's keys as this host last read or wrote them. They may be
-        old: another zone may have gone on with the program. A turn that runs on old
-        rows fails at its commit; one that they would refuse is decided by fresh rows.
+        The turn's rows as this host last read or wrote them. They may be outdated, as
+        another zone may have served the program since. A turn that runs on outdated
+        rows fails at its commit. If these rows would lead to a refusal or a stored
+        answer, the rows are read again before the decision.
     """
     if known is not None:
         step = _decide(turn, *_program_and_root(turn, known))
@@ -104,10 +112,10 @@
     Parameters
     ----------
     state : TurnState
-        How far the turn has got.
+        State before the event.
     event : TurnEvent
-        What happened; an event that the state doesn't wait for changes nothing, so
-        that late and duplicated answers do no harm.
+        An event that the state doesn't expect changes nothing, so that late and
+        duplicated answers do no harm.
     """
     match state:
         case ReadingRows():
@@ -175,8 +183,8 @@
         root = count_unknown_as_spent(root)
         root = replace(root, holder=turn.holder, term=root.term + 1)
     if root.term != turn.ahead_term:
-        # Another holder has served the program since; it counted what was left
-        # reserved as spent with the rest.
+        # Another holder has served the program since, and has counted the tokens that
+        # were left reserved as spent.
         turn = replace(turn, ahead=0)
     result = reserve(root, turn.profile, turn.tokens_to_reserve)
     if result.is_error():
@@ -211,7 +219,7 @@
         case StoreFailed():
             return TurnStep(state, (_write_reservation(state),))
         case TurnGivenUp(refusal):
-            # The reservation may stand; the next holder counts it as spent.
+            # The reservation may have been written; the next holder counts it as spent.
             return _refuse(refusal)
         case _:
             return TurnStep(state)
@@ -298,7 +306,7 @@
         case RowsWritten():
             return _reply(stored, state.ahead, state.rows[-1].term)
         case RowsConflict():
-            # A sub-agent settled on the same root, or another holder took over.
+            # A sub-agent of the same root has committed, or another holder took over.
             read = ReadRows(stored.turn.row_keys)
             return TurnStep(replace(state, is_rereading=True), (read,))
         case RowsRead(rows) if state.is_rereading:
@@ -320,13 +328,13 @@
         return _reply(stored)
     match decide_turn(program, replace(stored.turn.request, turn=stored.number)):
         case ReplayTurn(number, chunk):
-            # The caller had sent the turn again and another host committed it.
+            # The caller has sent the turn again, and another host has committed it.
             return TurnStep(Settled(), (ReplyTurn(number, chunk),))
         case RefuseTurn():
             return _refuse(_unknown(Reason.OUT_OF_ORDER, "the program has moved on"))
     if root.term != stored.root.term:
-        # The successor counts this turn's reservation as spent; settling it here
-        # would free it a second time.
+        # The successor has counted this turn's reservation as spent; settling it here
+        # would release it a second time.
         return _refuse(_unknown(Reason.NOT_HOLDER, "another host took over"))
     if root.state is ProgramState.ENDED:
         return _refuse(_unknown(Reason.PROGRAM_ENDED, "the root program has ended"))
@@ -347,10 +355,10 @@
 def _step_releasing(state: Releasing, event: TurnEvent) -> TurnStep:
     match event:
         case RowsWritten() | RowsConflict() | SlotLost() | TurnGivenUp():
-            # After a conflict the reservation stays: that is wasteful and safe.
+            # After a conflict the reservation remains, which wastes tokens but is safe.
             return _refuse(state.refusal)
         case StoreFailed():
-            # Sent once more in vain would hold the refusal back; it is true already.
+            # Another attempt to release could delay the refusal, which is true already.
             return _refuse(state.refusal)
         case _:
             return TurnStep(state)
--- a/packages/swifttide_core/src/swifttide_core/programs/_turn_order.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_turn_order.py
@@ -1,8 +1,9 @@
-"""The order of a program's turns.
+"""Decides whether a turn runs, is answered from the history, or is refused.
 
-A caller that lost its connection sends the turn again; another host may have
-committed it in the meantime. Running it twice would put two answers in one history.
-A turn is therefore known by its number and the hash of its body.
+A caller that lost its connection sends the turn again, and another host may have
+committed it in the meantime. Running it twice would put two answers into one history.
+A turn is therefore identified by its number and the hash of its body, which are
+compared with the committed state of its program.
 """
 
 from dataclasses import dataclass
@@ -12,19 +13,20 @@
 from swifttide_core.verdicts import Reason, Refusal, Verdict
 
 OUT_OF_ORDER_RETRY_SECONDS = 1.0
-"""An earlier turn that is still on its way usually arrives within this."""
+"""Retry delay of a turn that arrives before an earlier one. The earlier turn usually
+arrives within this time."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunTurn:
-    """The turn is next and may run."""
+    """The turn is the next one and may run."""
 
     turn: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReplayTurn:
-    """The turn is committed; its stored answer is the answer."""
+    """The turn is committed; its stored answer is returned."""
 
     turn: int
     chunk: str
@@ -41,19 +43,19 @@
 
 
 def decide_turn(row: ProgramRow, req: TurnRequest) -> TurnDecision:
-    """Decide what becomes of a turn, given the committed state of its program.
+    """Decide whether a turn runs, given the committed state of its program.
 
     Parameters
     ----------
     row : ProgramRow
-        The program as committed; no turn of it is running.
+        The program as committed; none of its turns may be running.
     req : TurnRequest
         The turn that was sent.
 
     Returns
     -------
     TurnDecision
-        Run it, answer from the history, or refuse it as not run.
+        Run the turn, return its stored answer, or refuse it.
     """
     if req.turn is None:
         return _decide_unnumbered(row)
@@ -81,8 +83,9 @@
 def _decide_committed(row: ProgramRow, req: TurnRequest) -> TurnDecision:
     if req.turn == row.turns and req.body_hash == row.last_body_hash:
         return ReplayTurn(req.turn, row.chunks[-1])
-    # Only the last turn's hash is in the row: an earlier turn sent again has run, and
-    # a caller told "not run" would put it into the history a second time.
+    # The row has the hash of the last turn only, so whether an earlier number is the
+    # same turn sent again can't be told. If its caller were told "not run", it could
+    # put the turn into the history a second time.
     earlier = req.turn < row.turns
     return RefuseTurn(
         Refusal(
--- a/packages/swifttide_core/src/swifttide_core/programs/_turn_request.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_turn_request.py
@@ -1,21 +1,22 @@
-"""A chat turn as a caller sent it."""
+"""The part of a caller's chat turn that decides on its order."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class TurnRequest:
-    """What decides whether a turn may start.
+    """Number and body hash of a turn as its caller sent it.
 
     Parameters
     ----------
     turn : int or None
-        Number that the caller gave, from 1; None for "the next one".
+        Number that the caller gave, starting at 1; None for the next turn.
     body_hash : str
         Hash of the request's body.
     gaps : bool
-        Whether turns may be missing from the row: those of a program whose callers
-        hold its history ran unrecorded while the platform was away.
+        Whether earlier turns may be missing from the row. If the caller holds the
+        history of the program, turns run without being recorded while the platform is
+        unreachable.
     """
 
     turn: int | None
--- a/packages/swifttide_core/src/swifttide_core/programs/_turn_state.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/_turn_state.py
@@ -1,4 +1,4 @@
-"""How far a turn has got."""
+"""States of a turn's state machine."""
 
 from dataclasses import dataclass
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadingRows:
-    """The program's rows are being read; nothing was dispatched."""
+    """The program's rows are being read; the turn hasn't been dispatched."""
 
     turn: Turn
 
 
 @dataclass(frozen=True, slots=True)
 class Reserving:
-    """The budget is being reserved; nothing was dispatched."""
+    """The budget is being reserved; the turn hasn't been dispatched."""
 
     turn: Turn
     number: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Storing:
-    """The turn's chunk is being stored."""
+    """The turn's chunk of the history is being stored."""
 
     turn: Turn
     number: int
@@ -48,12 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Committing:
-    """The rows that point to the chunk are being written.
+    """The rows that refer to the chunk are being written.
 
     Parameters
     ----------
+    stored : Storing
+        State in which the chunk was stored.
     rows : tuple of ProgramRow
-        Rows of the transaction under way.
+        Rows of the transaction in progress.
     ahead : int
         Tokens that the transaction reserves for the next turn.
     reading : bool
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Releasing:
-    """The reservation of a turn that reached no engine is being given back."""
+    """The reservation of a turn that reached no engine is being released."""
 
     turn: Turn
     root: ProgramRow
@@ -77,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """The caller has its answer."""
+    """The turn has ended: its answer or refusal has been passed to the runner."""
 
 
 TurnState = (
--- a/packages/swifttide_core/src/swifttide_core/programs/tests/test_budget_rules.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/tests/test_budget_rules.py
@@ -1,4 +1,4 @@
-"""A root's budget holds over its sub-agents and over deaths of hosts."""
+"""The budget of a root program, shared by sub-agents and kept when hosts die."""
 
 from swifttide_core.documents import Profile
 from swifttide_core.programs import (
@@ -16,8 +16,8 @@
 
 class TestReserve:
     def test_reservations_of_turns_in_flight_count(self):
-        """Sub-agents run side by side. Checked against settled tokens alone, each
-        would find the budget free and together they would overspend it.
+        """Sub-agents run concurrently. If only settled tokens were checked, each would
+        find the budget free, and together they would exceed it.
         """
         row = reserve(ROOT, PROFILE, 60).ok
         refused = reserve(row, PROFILE, 60)
@@ -37,8 +37,8 @@
 
 class TestCountUnknownAsSpent:
     def test_reservation_of_dead_holder_counts_as_spent(self):
-        """A host dies while a turn streams. The tokens that the engine made are on
-        the bill; a new holder that forgot them would let the program overspend.
+        """A host dies while a turn streams. The tokens that the engine generated are
+        charged; a new holder that ignored them would let the program exceed its budget.
         """
         row = count_unknown_as_spent(reserve(ROOT, PROFILE, 60).ok)
         assert (row.budget_used, row.budget_reserved) == (60, 0)
@@ -47,8 +47,8 @@
 
 class TestCheckLimits:
     def test_program_exceeds_its_time_limit(self):
-        """A tool never answers and the program asks again for days. Its turns are
-        few and short, so neither tokens nor turns would ever end it.
+        """A tool never answers, and the program retries for days. Its turns are few and
+        short, so neither the token nor the turn limit would end it.
         """
         profile = Profile("p", max_program_seconds=60)
         row = ProgramRow("c", "p", "p", started_at=1000.0)
@@ -56,7 +56,7 @@
         assert check_limits(row, profile, now=1061.0).reason is Reason.BUDGET
 
     def test_calls_since_last_commit_count(self):
-        """A program loops over a plain service between two turns."""
+        """A program loops over calls to a service between two turns."""
         profile = Profile("p", max_calls=5)
         row = ProgramRow("c", "p", "p", root_calls=3)
         assert check_limits(row, profile, now=0.0, calls=1) is None
--- a/packages/swifttide_core/src/swifttide_core/programs/tests/test_turn_machine.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/tests/test_turn_machine.py
@@ -1,4 +1,4 @@
-"""The steps of a turn, where a rare order of events decides."""
+"""The turn's state machine under rare orders of events."""
 
 from dataclasses import replace
 
@@ -39,7 +39,7 @@
 
 
 def turn_after_commit_conflict():
-    """Return a turn whose commit met a conflict, and the row that it reserved in."""
+    """Return a state after a commit conflict, and the row with its reservation."""
     state, (reserve,) = apply_events(start_turn(make_turn()).state, RowsRead((None,)))
     (reserved,) = reserve.rows
     state, _ = apply_events(
@@ -54,9 +54,9 @@
 
 class TestTurnMachine:
     def test_turn_is_refused_after_another_zone_took_over(self):
-        """A cut lets the other zone serve the program while a turn runs here. It has
-        counted the reservation as spent; settled here once more, it would be free a
-        second time and the program would spend more than its budget.
+        """During a network partition another zone serves the program while a turn runs
+        here, and counts the turn's reservation as spent. Settling it here as well would
+        release it a second time, and the program could exceed its budget.
         """
         state, row = turn_after_commit_conflict()
         row = replace(row, holder="b/7/1", term=2, budget_reserved=10, budget_used=10)
@@ -65,10 +65,10 @@
         assert refuse.refusal.verdict is Verdict.MAY_HAVE_RUN
 
     def test_turn_is_refused_after_program_moved_away_and_back(self):
-        """As before, but the program has come back to this zone while the turn was
-        still running. The holder's name is the same again and the reservation is
-        spent all the same. Found by `make fuzz`, seed 2678900627: the
-        reservations fell to -10 tokens, which the next turns could spend.
+        """As above, but the program has moved back to this zone while the turn was
+        still running. The holder's name is the same again, but the reservation has been
+        counted as spent. Found by `make fuzz`, seed 2678900627: the reservations fell
+        to -10 tokens, which the next turns could spend.
         """
         state, row = turn_after_commit_conflict()
         row = replace(row, term=3, budget_reserved=10, budget_used=20)
@@ -76,9 +76,9 @@
         assert refuse.refusal.verdict is Verdict.MAY_HAVE_RUN
 
     def test_tokens_reserved_in_an_earlier_term_are_not_reused(self):
-        """A commit left tokens reserved for the next turn, and the program was at
-        another zone in between, which counted them as spent. Used all the same, they
-        let the program spend more than its budget.
+        """A commit left tokens reserved for the next turn. Another zone served the
+        program in between and counted them as spent. If they were used nevertheless,
+        the program could exceed its budget.
         """
         row = replace(ROW, holder="a/7/1", term=3, budget_used=10, version=5)
         left = replace(make_turn(), ahead=10, ahead_term=1)
@@ -87,8 +87,8 @@
         assert action.rows[0].budget_reserved == 10
 
     def test_turn_is_refused_if_program_ended_while_it_ran(self):
-        """An operator ends a program while its turn runs. A turn that still lands
-        would bring cache and history of a program back that was released.
+        """An operator ends a program while its turn runs. If the turn were committed,
+        the cache and history of a program that was released would reappear.
         """
         state, row = turn_after_commit_conflict()
         _, (refuse,) = apply_events(
@@ -97,8 +97,8 @@
         assert isinstance(refuse, RefuseRequest)
 
     def test_turn_is_refused_if_its_number_was_committed_meanwhile(self):
-        """Another turn of this number, with another body, is committed already. A
-        second one under it would replace what its caller was given.
+        """Another turn with this number and a different body is already committed.
+        Committing a second one would replace an answer that a caller has received.
         """
         state, row = turn_after_commit_conflict()
         row = replace(row, turns=1, last_body_hash="other", chunks=("c",))
@@ -106,8 +106,8 @@
         assert isinstance(refuse, RefuseRequest)
 
     def test_commit_is_retried_after_a_sub_agent_settled(self):
-        """A sub-agent settles on the same root between reservation and commit. The
-        turn must land all the same, or the whole work is lost to the caller.
+        """A sub-agent of the same root commits between the turn's reservation and its
+        commit. The turn must be committed nevertheless, or its work is lost.
         """
         state, row = turn_after_commit_conflict()
         row = replace(row, budget_used=7, budget_reserved=10)
@@ -117,8 +117,8 @@
         assert commit.rows[0].budget_reserved == make_turn().tokens  # of the next
 
     def test_attempts_store_chunks_under_different_names(self):
-        """Two hosts run the same turn. Under one name the second chunk would be
-        refused or, worse, replace the answer that the first caller was given.
+        """Two hosts run the same turn. If the names were equal, the second chunk would
+        be refused or would replace the answer that a caller has received.
         """
         names = []
         for attempt in ("t1", "t2"):
--- a/packages/swifttide_core/src/swifttide_core/programs/tests/test_turn_order.py
+++ b/packages/swifttide_core/src/swifttide_core/programs/tests/test_turn_order.py
@@ -1,4 +1,4 @@
-"""Turns of a program run once each, in their order."""
+"""Turns of a program run once each, in order."""
 
 from dataclasses import replace
 
@@ -24,8 +24,8 @@
         assert decide_turn(ROW, TurnRequest(None, "three")) == RunTurn(3)
 
     def test_repeated_turn_gets_its_stored_answer(self):
-        """The answer of a turn was committed, then the connection to the caller broke.
-        The caller sends the turn again and must get that answer, not a second run.
+        """The caller's connection broke after the turn was committed. When the caller
+        sends the turn again, it must get the stored answer instead of a second run.
         """
         assert decide_turn(ROW, TurnRequest(2, "two")) == ReplayTurn(2, "chunk2")
 
@@ -40,8 +40,8 @@
         assert decision.refusal.retry_after_seconds > 0
 
     def test_gap_is_accepted_after_turns_ran_unrecorded(self):
-        """The platform was away for some turns of a program whose callers hold its
-        history. Refusing the next turn would end the program for good.
+        """The platform was unreachable during some turns of a program whose history its
+        caller holds. Refusing the next turn would end the program for good.
         """
         assert decide_turn(ROW, TurnRequest(5, "five", gaps=True)) == RunTurn(5)
 
