--- a/packages/swifttide_core/src/swifttide_core/intents/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/__init__.py
@@ -31,16 +31,16 @@
 )
 from swifttide_core.intents._intent_row import IntentRow, IntentState
 from swifttide_core.intents._intent_rules import (
-    AnswerStored,
     IntentDecision,
     RefuseIntent,
+    ReplayStoredAnswer,
     WriteIntent,
     decide_intent,
     unknown_outcome,
 )
 
 __all__ = [
-    "AnswerStored",
+    "ReplayStoredAnswer",
     "CallAction",
     "CallEvent",
     "CallState",
--- a/packages/swifttide_core/src/swifttide_core/intents/_call_machine.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/_call_machine.py
@@ -43,17 +43,17 @@
 )
 from swifttide_core.intents._intent_row import IntentRow, IntentState
 from swifttide_core.intents._intent_rules import (
-    AnswerStored,
     RefuseIntent,
+    ReplayStoredAnswer,
     WriteIntent,
     decide_intent,
 )
 from swifttide_core.verdicts import Reason, Refusal, Verdict
 
-RETRY_PLATFORM_SECONDS = 2.0
+PLATFORM_RETRY_SECONDS = 2.0
 """A renewal period: by then a host that lost the platform knows whether it is back."""
 
-RETRY_TARGET_SECONDS = 1.0
+TARGET_RETRY_SECONDS = 1.0
 """A restarted service listens again within about this."""
 
 
@@ -101,7 +101,7 @@
         case RowRead(row):
             return _decide(row, state.wanted)
         case PlatformFailed():
-            return CallStep(Finished(), (Refuse(_no_platform()),))
+            return CallStep(Finished(), (Refuse(_platform_unavailable()),))
         case GaveUp(refusal):
             return CallStep(Finished(), (Refuse(refusal),))
         case _:
@@ -116,7 +116,7 @@
     match decide_intent(known, wanted):
         case WriteIntent(row):
             return CallStep(Writing(row), (_write_intent(row),))
-        case AnswerStored(row):
+        case ReplayStoredAnswer(row):
             return CallStep(Finished(), (Reply(row),))
         case RefuseIntent(refusal):
             return CallStep(Finished(), (Refuse(refusal),))
@@ -157,9 +157,9 @@
             )
             return CallStep(Recording(done, Reply(done)), (_write_outcome(done),))
         case TargetUnreached(refusal):
-            free = replace(row, state=IntentState.NOT_RUN)
+            not_run = replace(row, state=IntentState.NOT_RUN)
             refuse = Refuse(refusal or _no_target())
-            return CallStep(Recording(free, refuse), (_write_outcome(free),))
+            return CallStep(Recording(not_run, refuse), (_write_outcome(not_run),))
         case GaveUp(refusal):
             # Whatever the reason says, bytes may be out.
             refusal = refusal.with_verdict(Verdict.MAY_HAVE_RUN)
@@ -172,16 +172,16 @@
 
 def _step_recording(state: Recording, event: CallEvent) -> CallStep:
     row = state.row
-    pending = () if state.pending is None else (state.pending,)
+    replies = () if state.pending_reply is None else (state.pending_reply,)
     match event:
         case RowWritten() | RowConflict():
-            return CallStep(Finished(), pending)
+            return CallStep(Finished(), replies)
         case PlatformFailed():
             # The caller needn't wait for the journal: what it is told is true
             # already. The shell goes on trying, pausing longer each time.
-            return CallStep(Recording(row, None), (*pending, _write_outcome(row)))
+            return CallStep(Recording(row, None), (*replies, _write_outcome(row)))
         case GaveUp():
-            return CallStep(Finished(), pending)
+            return CallStep(Finished(), replies)
         case _:
             return CallStep(state)
 
@@ -214,11 +214,11 @@
     return WriteRow(row, f"{row.attempt}:{row.version}:undo")
 
 
-def _no_platform() -> Refusal:
+def _platform_unavailable() -> Refusal:
     return Refusal(
         Reason.PLATFORM_UNAVAILABLE,
         "the journal can't be read, so the call wasn't sent",
-        retry_after_seconds=RETRY_PLATFORM_SECONDS,
+        retry_after_seconds=PLATFORM_RETRY_SECONDS,
     )
 
 
@@ -226,7 +226,7 @@
     return Refusal(
         Reason.NO_TARGET,
         "no connection to the service; nothing was sent",
-        retry_after_seconds=RETRY_TARGET_SECONDS,
+        retry_after_seconds=TARGET_RETRY_SECONDS,
     )
 
 
--- a/packages/swifttide_core/src/swifttide_core/intents/_call_state.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/_call_state.py
@@ -40,7 +40,7 @@
     """
 
     row: IntentRow
-    pending: Reply | Refuse | None
+    pending_reply: Reply | Refuse | None
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/swifttide_core/src/swifttide_core/intents/_intent_rules.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/_intent_rules.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerStored:
+class ReplayStoredAnswer:
     """The call ran; this is its answer."""
 
     row: IntentRow
@@ -33,7 +33,7 @@
     refusal: Refusal
 
 
-IntentDecision = WriteIntent | AnswerStored | RefuseIntent
+IntentDecision = WriteIntent | ReplayStoredAnswer | RefuseIntent
 
 
 def decide_intent(known: IntentRow | None, wanted: IntentRow) -> IntentDecision:
@@ -62,7 +62,7 @@
         )
     match known.state:
         case IntentState.DONE:
-            return AnswerStored(known)
+            return ReplayStoredAnswer(known)
         case IntentState.NOT_RUN:
             return WriteIntent(replace(wanted, version=known.version))
         case IntentState.INTENT:
--- a/packages/swifttide_core/src/swifttide_core/intents/tests/test_intent_rules.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/tests/test_intent_rules.py
@@ -3,10 +3,10 @@
 from dataclasses import replace
 
 from swifttide_core.intents import (
-    AnswerStored,
     IntentRow,
     IntentState,
     RefuseIntent,
+    ReplayStoredAnswer,
     WriteIntent,
     decide_intent,
 )
@@ -17,7 +17,7 @@
 
 
 class TestDecideIntent:
-    def test_first_attempt_writes(self):
+    def test_first_attempt_writes_an_intent(self):
         assert decide_intent(None, WANTED) == WriteIntent(WANTED)
 
     def test_attempt_without_outcome_is_never_repeated(self):
@@ -28,15 +28,15 @@
         assert isinstance(decision, RefuseIntent)
         assert decision.refusal.verdict is Verdict.MAY_HAVE_RUN
 
-    def test_done_is_answered_from_the_journal(self):
+    def test_finished_call_is_answered_from_the_journal(self):
         done = replace(KNOWN, state=IntentState.DONE, status=200, answer="ok")
-        assert decide_intent(done, WANTED) == AnswerStored(done)
+        assert decide_intent(done, WANTED) == ReplayStoredAnswer(done)
 
-    def test_not_run_may_be_tried_again(self):
+    def test_call_that_did_not_run_may_be_retried(self):
         known = replace(KNOWN, state=IntentState.NOT_RUN)
         assert decide_intent(known, WANTED) == WriteIntent(replace(WANTED, version=7))
 
-    def test_same_key_for_another_call_is_refused(self):
+    def test_reused_key_for_another_call_is_refused(self):
         decision = decide_intent(KNOWN, replace(WANTED, body_hash="other"))
         assert decision.refusal.reason is Reason.KEY_REUSED
         assert decision.refusal.verdict is Verdict.NOT_RUN
