--- a/packages/swifttide_core/src/swifttide_core/intents/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/__init__.py
@@ -1,4 +1,8 @@
-"""Intents: the journal of calls that may not be repeated."""
+"""Journal and state machine of non-repeatable calls, which run at most once.
+
+Before such a call is dispatched, an intent (a write-ahead record) is written to the
+journal under the customer and the Idempotency-Key.
+"""
 
 from swifttide_core.intents._call_action import (
     CallAction,
--- a/packages/swifttide_core/src/swifttide_core/intents/_call_action.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/_call_action.py
@@ -1,4 +1,7 @@
-"""What a call that may not be repeated asks of its surroundings."""
+"""Actions that the state machine of a non-repeatable call asks its runner to perform.
+
+The runner reports the outcome of an action as an event.
+"""
 
 from dataclasses import dataclass
 
@@ -8,22 +11,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRow:
-    """Read the journal's row of this key."""
+    """Read the journal's row with this key."""
 
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRow:
-    """Write the row if it still has `row.version`.
+    """Write the row if the stored row still has the version `row.version`.
 
     Parameters
     ----------
     row : IntentRow
-        The new row; its version is the one that it was read at.
+        The new row, with the version at which it was read.
     transaction : str
-        Id of the transaction; sent again it returns the first outcome, so that a
-        lost answer is settled by sending the same write again.
+        Id of the transaction. Sending it again returns the first outcome, which
+        resolves writes whose answer was lost.
     """
 
     row: IntentRow
@@ -32,21 +35,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Send the call to a target, once."""
+    """Send the call to a target; happens at most once in each attempt."""
 
     row: IntentRow
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Give the caller the target's answer."""
+    """Answer the caller with the target's answer, which the row contains."""
 
     row: IntentRow
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Give the caller a refusal."""
+    """Answer the caller with a refusal."""
 
     refusal: Refusal
 
--- a/packages/swifttide_core/src/swifttide_core/intents/_call_event.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/_call_event.py
@@ -1,4 +1,4 @@
-"""What a call that may not be repeated is told by its surroundings."""
+"""Events that the state machine of a non-repeatable call receives from its runner."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RowRead:
-    """The journal's row of the call's key was read; None when there is none."""
+    """The journal's row with the call's key was read; None if there is none."""
 
     row: IntentRow | None
 
 
 @dataclass(frozen=True, slots=True)
 class RowWritten:
-    """The last write took effect and made this version of the row."""
+    """The last write took effect; the row now has this version."""
 
     version: int
 
@@ -27,17 +27,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformFailed:
-    """No answer from the platform; the last write may have taken effect."""
+    """The platform's store didn't answer; the last write may have taken effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class GaveUp:
-    """The call's time is up, its caller is gone, or it may no longer be sent.
+    """The deadline has passed, the caller has disconnected, or sending is not allowed.
 
     Parameters
     ----------
     refusal : Refusal
-        Why, as a refusal of a call that hasn't been dispatched.
+        Reason, worded for a call that hasn't been dispatched.
     """
 
     refusal: Refusal
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetAnswered:
-    """The target answered; the effect took place."""
+    """The target answered, so the call has run."""
 
     status: int
     answer: str
@@ -54,13 +54,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetUnreached:
-    """No byte of the call went out: no connection, or a last check said no.
+    """No byte of the call was sent.
+
+    Either the connection failed, or a last check before sending forbade it.
 
     Parameters
     ----------
     refusal : Refusal or None
-        Why it wasn't sent (its key was withdrawn, its target is leaving); None when
-        the connection couldn't be made.
+        Reason of the last check, such as an API key that was withdrawn or a target that
+        is leaving; None if the connection failed.
     """
 
     refusal: Refusal | None = None
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetSilent:
-    """Bytes went out and no whole answer to this very call came back."""
+    """Bytes of the call were sent, but no complete answer to this call was received."""
 
 
 CallEvent = (
--- a/packages/swifttide_core/src/swifttide_core/intents/_call_machine.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/_call_machine.py
@@ -1,14 +1,17 @@
-"""The steps of a call that may not be repeated: read, write intent, send, record.
-
-What goes wrong without it: the daemon's thread sends first and writes later, sends
-again after a lost answer, or says ``not_run`` of a call that is on its way. A club
-then pays twice, or believes that it hasn't paid. The steps are therefore a state
-machine with one single way into `Dispatched` and none back, which the daemon, the
-fuzzer and the replay share.
-
-A leftover intent (its host died, or gave up while the platform was down) answers
-``may_have_run`` to whoever sends the key again. An attempt that gave up before it
-dispatched tries to mark its row ``not_run``, so that fewer keys end that way.
+"""State machine of a non-repeatable call: read, write intent, send, record.
+
+`start_call` and `step_call` are pure functions: they take events and return the next
+state and the actions to perform. The daemon, the fuzz tests and the replay of traces
+share them. A daemon that sent the call before it wrote the intent, sent it again after
+a lost answer, or reported ``not_run`` for a call in progress would make a customer pay
+twice, or believe that a payment wasn't made. The machine therefore dispatches only once
+an intent of its own attempt is stored, and no transition leads from `Dispatched` back
+to an earlier state.
+
+An intent without an outcome remains if its host died, or gave up while the platform was
+unreachable. Later calls with the same key are answered with ``may_have_run``. To keep
+such intents rare, an attempt that gives up before it dispatches tries to mark its row
+``not_run``.
 """
 
 from dataclasses import dataclass, replace
@@ -51,22 +54,29 @@
 from swifttide_core.verdicts import Reason, Refusal, Verdict
 
 PLATFORM_RETRY_SECONDS = 2.0
-"""A renewal period: by then a host that lost the platform knows whether it is back."""
+"""Renewal period of leases. Within it, a host that lost its connection to the platform
+finds out whether the platform is reachable again."""
 
 TARGET_RETRY_SECONDS = 1.0
-"""A restarted service listens again within about this."""
+"""Approximate time until a restarted service accepts connections again."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallStep:
-    """State after an event, and what is to be done next, in order."""
+    """State after an event, and the actions to perform next, in order."""
 
     state: CallState
     actions: tuple[CallAction, ...] = ()
 
 
 def start_call(wanted: IntentRow) -> CallStep:
-    """Begin a call; `wanted.attempt` must be new and known to nobody else."""
+    """Return the first step of a call.
+
+    Parameters
+    ----------
+    wanted : IntentRow
+        Row of the call. Its attempt id must be new and unique.
+    """
     return CallStep(Reading(wanted), (ReadRow(wanted.key),))
 
 
@@ -76,10 +86,10 @@
     Parameters
     ----------
     state : CallState
-        How far the call has got.
+        State before the event.
     event : CallEvent
-        What happened; an event that the state doesn't wait for changes nothing, so
-        that late and duplicated answers do no harm.
+        An event that the state doesn't expect changes nothing, so that late and
+        duplicated answers do no harm.
     """
     match state:
         case Reading():
@@ -110,8 +120,8 @@
 
 def _decide(known: IntentRow | None, wanted: IntentRow) -> CallStep:
     if known is not None and _is_own_intent(known, wanted):
-        # Its write took effect and the answer was lost. This attempt is still
-        # reading, so it has dispatched nothing: the intent is there to be used.
+        # The write of this attempt took effect, but its answer was lost. The attempt
+        # hasn't dispatched yet, since it is still reading, so it may dispatch now.
         return CallStep(Dispatched(known), (Dispatch(known),))
     match decide_intent(known, wanted):
         case WriteIntent(row):
@@ -137,7 +147,7 @@
         case PlatformFailed():
             return CallStep(state, (_write_intent(row),))
         case GaveUp(refusal):
-            # The write may have taken effect, or may still.
+            # The write may have taken effect, or may still do so.
             undo = replace(row, state=IntentState.NOT_RUN)
             return CallStep(Undoing(undo), (Refuse(refusal), _write_undo(undo)))
         case _:
@@ -161,7 +171,7 @@
             refuse = Refuse(refusal or _no_target())
             return CallStep(Recording(not_run, refuse), (_write_outcome(not_run),))
         case GaveUp(refusal):
-            # Whatever the reason says, bytes may be out.
+            # The reason assumes that nothing was sent, but bytes may have been.
             refusal = refusal.with_verdict(Verdict.MAY_HAVE_RUN)
             return CallStep(Finished(), (Refuse(refusal),))
         case TargetSilent():
@@ -177,8 +187,8 @@
         case RowWritten() | RowConflict():
             return CallStep(Finished(), replies)
         case PlatformFailed():
-            # The caller needn't wait for the journal: what it is told is true
-            # already. The shell goes on trying, pausing longer each time.
+            # The caller needn't wait for the journal, as its answer is final already.
+            # The runner repeats the write, with a longer pause each time.
             return CallStep(Recording(row, None), (*replies, _write_outcome(row)))
         case GaveUp():
             return CallStep(Finished(), replies)
--- a/packages/swifttide_core/src/swifttide_core/intents/_call_state.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/_call_state.py
@@ -1,4 +1,4 @@
-"""How far a call that may not be repeated has got."""
+"""States of a non-repeatable call's state machine."""
 
 from dataclasses import dataclass
 
@@ -8,35 +8,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """The journal is being read; nothing was dispatched."""
+    """The journal is being read; the call hasn't been dispatched."""
 
     wanted: IntentRow
 
 
 @dataclass(frozen=True, slots=True)
 class Writing:
-    """The intent is being written; nothing was dispatched."""
+    """The intent is being written; the call hasn't been dispatched."""
 
     row: IntentRow
 
 
 @dataclass(frozen=True, slots=True)
 class Dispatched:
-    """The call may be on its way to a target; it is never sent again."""
+    """The call may have reached a target; it is never sent again."""
 
     row: IntentRow
 
 
 @dataclass(frozen=True, slots=True)
 class Recording:
-    """The outcome is being written.
+    """The outcome is being written to the journal.
 
     Parameters
     ----------
     row : IntentRow
-        Row with its outcome.
-    pending : Reply, Refuse or None
-        What the caller is still to get; None once it got it.
+        Row with the outcome.
+    pending_reply : Reply, Refuse or None
+        Action that answers the caller; None once it has been returned.
     """
 
     row: IntentRow
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Undoing:
-    """The caller has its refusal; an intent that may be written is marked not run."""
+    """The caller was refused; an intent that may be stored is being marked not run."""
 
     row: IntentRow
 
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """Nothing more is to be done."""
+    """The call has ended; no further action follows."""
 
 
 CallState = Reading | Writing | Dispatched | Recording | Undoing | Finished
--- a/packages/swifttide_core/src/swifttide_core/intents/_intent_row.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/_intent_row.py
@@ -5,21 +5,21 @@
 
 
 class IntentState(StrEnum):
-    """What is known of a non-repeatable call."""
+    """Outcome of a non-repeatable call, as far as the journal has it."""
 
     INTENT = "intent"
-    """Dispatch was allowed; without an outcome it may have run."""
+    """The call may be dispatched. Until an outcome is recorded, it may have run."""
 
     DONE = "done"
     """The target answered; the answer is stored."""
 
     NOT_RUN = "not_run"
-    """No byte reached a target; the call may be tried again."""
+    """No byte reached a target; the call may be attempted again."""
 
 
 @dataclass(frozen=True, slots=True)
 class IntentRow:
-    """Journal entry of one call, under its customer and Idempotency-Key.
+    """Journal entry of one call, stored under its customer and Idempotency-Key.
 
     Parameters
     ----------
@@ -28,21 +28,21 @@
     program : str
         Program that the call belongs to.
     service, path : str
-        What was called.
+        Service and path that are called.
     body_hash : str
         Hash of service, path and body.
     attempt : str
-        Id of the attempt that may dispatch; only its writer does.
+        Id of the attempt that wrote the intent; only this attempt may dispatch.
     state : IntentState
-        What is known.
+        Outcome as far as recorded.
     status : int
-        Status of the target's answer when done.
+        HTTP status of the target's answer, if done.
     answer : str
-        The target's answer when done.
+        Body of the target's answer, if done.
     content_type : str
-        Content type of the answer.
+        Content type of the target's answer, if done.
     version : int
-        Version of the row; 0 when there is none.
+        Version of the stored row; 0 if there is none.
     """
 
     customer: str
--- a/packages/swifttide_core/src/swifttide_core/intents/_intent_rules.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/_intent_rules.py
@@ -1,9 +1,9 @@
-"""At most once for calls that may not be repeated.
+"""Decides by the journal whether a non-repeatable call may be dispatched.
 
-A lease can't give this: a holder that was paused wakes up and dispatches although
-another host took over. What gives it is the journal: only the attempt whose row was
-inserted (or moved on from ``not_run``) by a conditional write may dispatch, and it
-dispatches once. Everybody else answers from the row.
+Such a call must run at most once. A lease can't guarantee this, since a paused holder
+may resume and dispatch the call after another host has taken over. The journal does:
+only the attempt whose conditional write inserted the row, or replaced a ``not_run``
+row, may dispatch, and it does so once. Every other attempt is answered from the row.
 """
 
 from dataclasses import dataclass, replace
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteIntent:
-    """Write this row, conditional on the version it was read at; then dispatch."""
+    """Write this row if its version is unchanged since it was read, then dispatch."""
 
     row: IntentRow
 
 
 @dataclass(frozen=True, slots=True)
 class ReplayStoredAnswer:
-    """The call ran; this is its answer."""
+    """The call has run; its stored answer is returned."""
 
     row: IntentRow
 
@@ -37,19 +37,19 @@
 
 
 def decide_intent(known: IntentRow | None, wanted: IntentRow) -> IntentDecision:
-    """Decide what becomes of a call, given the journal's row for its key.
+    """Decide whether a call is dispatched, given the journal's row with its key.
 
     Parameters
     ----------
     known : IntentRow or None
-        Row as read from the platform.
+        Row as read from the journal; None if there is none.
     wanted : IntentRow
-        Row of the call at hand, with a fresh attempt id.
+        Row of the current call, with a new attempt id.
 
     Returns
     -------
     IntentDecision
-        Write and dispatch, answer from the journal, or refuse.
+        Write the intent and dispatch, return the stored answer, or refuse.
     """
     if known is None:
         return WriteIntent(wanted)
@@ -70,7 +70,7 @@
 
 
 def unknown_outcome() -> Refusal:
-    """Return the refusal of a call whose earlier attempt has no outcome."""
+    """Return the refusal of a call with an earlier attempt of unknown outcome."""
     return Refusal(
         Reason.CONFLICT,
         "an earlier attempt of this call was dispatched and its outcome is unknown; "
--- a/packages/swifttide_core/src/swifttide_core/intents/tests/test_intent_rules.py
+++ b/packages/swifttide_core/src/swifttide_core/intents/tests/test_intent_rules.py
@@ -1,4 +1,4 @@
-"""A non-repeatable call is dispatched by one attempt only."""
+"""Only one attempt may dispatch a non-repeatable call."""
 
 from dataclasses import replace
 
@@ -21,8 +21,8 @@
         assert decide_intent(None, WANTED) == WriteIntent(WANTED)
 
     def test_attempt_without_outcome_is_never_repeated(self):
-        """A host wrote the intent, dispatched and died. Another host gets the call
-        again; dispatching it could charge the fee twice.
+        """A host wrote the intent, dispatched the call and died. Another host receives
+        the call again; dispatching it could charge the fee twice.
         """
         decision = decide_intent(KNOWN, WANTED)
         assert isinstance(decision, RefuseIntent)
