--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_answer_relay.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_answer_relay.py
@@ -38,7 +38,7 @@
         Header fields of responses.
     turns : TurnKeeper
         Stores the transcripts of turns.
-    elsewhere_after : callable
+    failover_delay_seconds : callable
         While this host is cut off from the store and the other zones, returns the
         seconds until callers are routed to another host; otherwise returns None.
     beliefs : Beliefs
@@ -51,14 +51,14 @@
         self,
         dialect: Dialect,
         turns: TurnKeeper,
-        elsewhere_after: Callable[[], float | None],
+        failover_delay_seconds: Callable[[], float | None],
         beliefs: Beliefs,
         metrics: GatewayMetrics,
         log: EventLog,
     ):
         self._dialect = dialect
         self._turns = turns
-        self._elsewhere_after = elsewhere_after
+        self._failover_delay_seconds = failover_delay_seconds
         self._beliefs = beliefs
         self._metrics = metrics
         self._log = log
@@ -178,7 +178,7 @@
             job.homes,
         )
         while not await keep():
-            if self._elsewhere_after() is not None or loop.time() > until:
+            if self._failover_delay_seconds() is not None or loop.time() > until:
                 raise Refusal(502, "turn_not_stored")
             await asyncio.sleep(TURN_STORE_RETRY_SECONDS)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
@@ -78,7 +78,7 @@
         The other hosts.
     admission : Admission
     relay : AnswerRelay
-    elsewhere_after : callable
+    failover_delay_seconds : callable
         While this host is cut off from the store and the other zones, returns the
         seconds until callers are routed to another host; otherwise returns None.
     strikes : StrikeKeeper
@@ -98,7 +98,7 @@
         fleet: Fleet,
         admission: Admission,
         relay: AnswerRelay,
-        elsewhere_after: Callable[[], float | None],
+        failover_delay_seconds: Callable[[], float | None],
         strikes: StrikeKeeper,
         metrics: GatewayMetrics,
         log: EventLog,
@@ -114,7 +114,7 @@
         self._prompt_locations = PromptLocations()
         self._admission = admission
         self._relay = relay
-        self._elsewhere_after = elsewhere_after
+        self._failover_delay_seconds = failover_delay_seconds
         self._strikes = strikes
         self._metrics = metrics
         self._log = log
@@ -138,10 +138,10 @@
 
     async def _refuse(self, req, channel, refusal):
         retry_after = refusal.retry_after
-        elsewhere = self._elsewhere_after()
-        if retry_after is not None and elsewhere is not None:
+        failover_delay = self._failover_delay_seconds()
+        if retry_after is not None and failover_delay is not None:
             # By then the retry reaches a host that isn't cut off.
-            retry_after = elsewhere
+            retry_after = failover_delay
         self._log.info(
             "request_refused",
             request_id=req.id,
