--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
@@ -299,8 +299,8 @@
     def _choose(self, job, tried, may_have_run) -> TargetEntry | PlaceLater | None:
         """Choose the next target without the request order; None when none is left.
 
-        At most ``max_attempts`` of the route's targets may run the request. A target
-        that has terminated since it got the request isn't counted.
+        The route's ``max_attempts`` limits the number of targets that may run the
+        request. A target that has terminated since it got the request isn't counted.
         """
         targets = self._beliefs.targets_of(job.service.name, job.homes)
         usable = [t for t in targets if t.id not in tried]
