--- a/benchmarks/program_rates.py
+++ b/benchmarks/program_rates.py
@@ -16,13 +16,13 @@
 from dataclasses import dataclass, field
 
 from swifttide_core.rates import (
-    Asker,
+    ActivePrograms,
+    Denied,
     Granted,
-    Handful,
-    ProgramLoad,
-    ProgramSizes,
+    ProgramSizeEstimates,
     RatePool,
-    Short,
+    RequestKey,
+    TokenTransfer,
 )
 
 SECONDS = 40.0
@@ -159,10 +159,10 @@
 
     rate: float
     pool: RatePool
-    load: ProgramLoad
+    load: ActivePrograms
     number: int = 0
     filled_at: float = 0.0
-    waiting: dict[Asker, Callable[[], None]] = field(default_factory=dict)
+    waiting: dict[RequestKey, Callable[[], None]] = field(default_factory=dict)
 
 
 class Play:
@@ -173,13 +173,13 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self.now = 0.0
-        sizes = ProgramSizes()
+        sizes = ProgramSizeEstimates()
         self._customers = [
-            Customer(r, RatePool(r, r + way.extra, 0.0), ProgramLoad(sizes))
+            Customer(r, RatePool(r, r + way.extra, 0.0), ActivePrograms(sizes))
             for r in rates
         ]
         for customer in self._customers:
-            customer.pool.fill("h", "b", 0, Handful(0.0, 1.0, 0), 0.0)
+            customer.pool.deposit("h", "b", 0, TokenTransfer(0.0, 1.0, 0), 0.0)
             self._at(FILL_SECONDS, self._filler(customer))
         for program in programs:
             self._at(program.begins_at, self._beginner(program))
@@ -199,9 +199,9 @@
         def fill():
             customer.number += 1
             tokens = customer.rate * FILL_SECONDS
-            handful = Handful(tokens, 1.0, 0)
-            customer.pool.fill("h", "b", customer.number, handful, self.now)
-            for asker in customer.pool.serve(self.now):
+            handful = TokenTransfer(tokens, 1.0, 0)
+            customer.pool.deposit("h", "b", customer.number, handful, self.now)
+            for asker in customer.pool.grant_waiting(self.now):
                 customer.waiting.pop(asker)()
             self._at(self.now + FILL_SECONDS, fill)
 
@@ -250,19 +250,21 @@
         if program.outcome:
             return
         customer = self._customers[program.customer]
-        asker = Asker("h", "b", next(self._order))
-        if may_be_new and not customer.load.knows(program.name):
+        asker = RequestKey("h", "b", next(self._order))
+        if may_be_new and not customer.load.is_active(program.name):
             seconds = self._until_room(customer, program)
             if seconds > 0.0:
                 self._again(program, may_be_new, go_on, tries, seconds)
                 return
         wait = 0.0 if may_be_new else MAX_WAIT_SECONDS
-        standing = customer.pool.ask(asker, self.now + wait, self.now)
-        if isinstance(standing, Short):
+        standing = customer.pool.request_token(asker, self.now + wait, self.now)
+        if isinstance(standing, Denied):
             self._again(program, may_be_new, go_on, tries, standing.seconds)
             return
         has_waited = not isinstance(standing, Granted)
-        customer.load.note(program.name, has_waited, self.now, *self._kind(program))
+        customer.load.record_request(
+            program.name, has_waited, self.now, *self._kind(program)
+        )
         program.n_made += 1
         if not has_waited:
             go_on()
@@ -274,7 +276,7 @@
         customer = self._customers[program.customer]
         if customer.waiting.pop(asker, None) is None:
             return
-        customer.pool.leave(asker)
+        customer.pool.cancel(asker)
         self._again(program, False, go_on, tries, 0.1)
 
     def _again(self, program, may_be_new, go_on, tries, seconds):
@@ -289,7 +291,7 @@
 
     def _until_room(self, customer, program) -> float:
         kind = program.kind.name if self._way.by_kind else ""
-        return customer.load.seconds_until_room(
+        return customer.load.seconds_until_admission(
             customer.pool.level, customer.rate, self.now, kind
         )
 
--- a/packages/swifttide_core/src/swifttide_core/rates/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/__init__.py
@@ -1,24 +1,28 @@
 """Rates of customers, gathered from the shares that hosts hold."""
 
-from swifttide_core.rates._handful import Handful
-from swifttide_core.rates._keeper_order import keeper_order
+from swifttide_core.rates._active_programs import ActivePrograms
 from swifttide_core.rates._local_share import LocalShare
-from swifttide_core.rates._program_load import ProgramLoad
-from swifttide_core.rates._program_sizes import ProgramSizes
-from swifttide_core.rates._rate_pool import FILLER_SECONDS, Asker, RatePool
-from swifttide_core.rates._standing import Granted, Queued, Short, Standing
+from swifttide_core.rates._owner_ranking import rank_owners
+from swifttide_core.rates._program_size_estimates import ProgramSizeEstimates
+from swifttide_core.rates._rate_pool import (
+    CONTRIBUTOR_TIMEOUT_SECONDS,
+    RatePool,
+    RequestKey,
+)
+from swifttide_core.rates._token_decision import Denied, Granted, Queued, TokenDecision
+from swifttide_core.rates._token_transfer import TokenTransfer
 
 __all__ = [
-    "FILLER_SECONDS",
-    "Asker",
+    "CONTRIBUTOR_TIMEOUT_SECONDS",
+    "RequestKey",
     "Granted",
-    "Handful",
+    "TokenTransfer",
     "LocalShare",
-    "ProgramLoad",
-    "ProgramSizes",
+    "ActivePrograms",
+    "ProgramSizeEstimates",
     "Queued",
     "RatePool",
-    "Short",
-    "Standing",
-    "keeper_order",
+    "Denied",
+    "TokenDecision",
+    "rank_owners",
 ]
--- a/packages/swifttide_core/src/swifttide_core/rates/_program_load.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_active_programs.py
@@ -13,26 +13,26 @@
 
 from dataclasses import dataclass
 
-from swifttide_core.rates._program_sizes import ProgramSizes
+from swifttide_core.rates._program_size_estimates import ProgramSizeEstimates
 
-IDLE_SECONDS = 1.2
+PROGRAM_IDLE_SECONDS = 1.2
 """A program without a request for so long has ended: a turn takes some 0.4 s and the
 pause after it 0.25 s at most."""
 
-STRETCH = 1.3
+ADMISSION_HORIZON_FACTOR = 1.3
 """Times the usual length in which programs may be carried to their end: callers allow
 half as long again."""
 
-LEAST_LEFT = 0.25
+MIN_REMAINING_FRACTION = 0.25
 """Part of the usual number of requests that any program under way is expected to make
 still."""
 
-MAX_WAIT_SECONDS = 1.0
+MAX_RETRY_SECONDS = 1.0
 """Longest time that a new program is told to stay away: most programs end sooner."""
 
 
 @dataclass(slots=True)
-class _UnderWay:
+class _ActiveProgram:
     kind: str
     calls: int
     began_at: float
@@ -40,7 +40,7 @@
     has_waited: bool = False
 
 
-class ProgramLoad:
+class ActivePrograms:
     """Programs of one customer that are under way.
 
     Parameters
@@ -49,15 +49,17 @@
         Shared by all customers of a host.
     """
 
-    def __init__(self, sizes: ProgramSizes):
+    def __init__(self, sizes: ProgramSizeEstimates):
         self._sizes = sizes
-        self._programs: dict[str, _UnderWay] = {}
+        self._programs: dict[str, _ActiveProgram] = {}
 
-    def knows(self, program: str) -> bool:
+    def is_active(self, program: str) -> bool:
         """Whether a program has made requests of late."""
         return program in self._programs
 
-    def note(self, program: str, has_waited: bool, now: float, kind: str = "") -> None:
+    def record_request(
+        self, program: str, has_waited: bool, now: float, kind: str = ""
+    ) -> None:
         """Count a request of a program.
 
         Parameters
@@ -71,12 +73,12 @@
         """
         known = self._programs.get(program)
         if known is None:
-            known = self._programs[program] = _UnderWay(kind, 0, now, now)
+            known = self._programs[program] = _ActiveProgram(kind, 0, now, now)
         known.calls += 1
         known.seen_at = now
         known.has_waited |= has_waited
 
-    def seconds_until_room(
+    def seconds_until_admission(
         self,
         level: float,
         rate: float,
@@ -95,26 +97,28 @@
         kind : str
             Of the new program.
         """
-        self._forget(now)
+        self._remove_ended(now)
         if not self._programs or rate <= 0.0:
             return 0.0
-        usual = self._sizes.of(kind)
-        needed = usual.calls + sum(self._left(p) for p in self._programs.values())
-        carried = level + rate * usual.seconds * STRETCH
-        return min(MAX_WAIT_SECONDS, max(0.0, needed - carried) / rate)
-
-    def _left(self, program) -> float:
+        usual = self._sizes.get(kind)
+        needed = usual.calls + sum(
+            self._remaining_requests(p) for p in self._programs.values()
+        )
+        carried = level + rate * usual.seconds * ADMISSION_HORIZON_FACTOR
+        return min(MAX_RETRY_SECONDS, max(0.0, needed - carried) / rate)
+
+    def _remaining_requests(self, program) -> float:
         """Return the requests that a program under way is expected to make still."""
-        usual = self._sizes.of(program.kind).calls
-        return max(usual * LEAST_LEFT, usual - program.calls)
+        usual = self._sizes.get(program.kind).calls
+        return max(usual * MIN_REMAINING_FRACTION, usual - program.calls)
 
-    def _forget(self, now):
+    def _remove_ended(self, now):
         """Drop programs that have ended, and learn from them."""
         for name, program in list(self._programs.items()):
-            if now - program.seen_at >= IDLE_SECONDS:
+            if now - program.seen_at >= PROGRAM_IDLE_SECONDS:
                 del self._programs[name]
                 # Programs that waited for tokens would make any number of others
                 # seem to fit in beside them.
                 length = program.seen_at - program.began_at
-                size = self._sizes.of(program.kind)
-                size.note(program.calls, None if program.has_waited else length)
+                size = self._sizes.get(program.kind)
+                size.update(program.calls, None if program.has_waited else length)
--- a/packages/swifttide_core/src/swifttide_core/rates/_local_share.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_local_share.py
@@ -12,12 +12,12 @@
 """
 
 from swifttide_core.limits import TokenBucket
-from swifttide_core.rates._handful import Handful
+from swifttide_core.rates._token_transfer import TokenTransfer
 
-KEPT_SECONDS = 0.4
+RETAINED_DEMAND_SECONDS = 0.4
 """A host keeps what it uses in so long: two handings-on."""
 
-USED_GAIN = 0.3
+DEMAND_UPDATE_WEIGHT = 0.3
 """Weight of the newest interval in the estimate of what is used a second."""
 
 
@@ -37,63 +37,65 @@
 
     def __init__(self, rate: float, burst: float, share: float, level: float, now):
         self.share = share
-        self._whole_burst = burst
+        self._customer_burst = burst
         self._bucket = TokenBucket(
             rate * share, burst * share, burst * share * level, now
         )
-        self._wanted = 0
-        self._wanted_per_second = 0.0
-        self._taken = 0
-        self._handed_at = now
+        self._n_requested = 0
+        self._demand_per_second = 0.0
+        self._n_taken = 0
+        self._released_at = now
 
     @property
-    def is_due(self) -> bool:
+    def may_have_tokens(self) -> bool:
         """Whether there is or was a share of which something may be handed on."""
         return self.share > 0.0 or self._bucket.level > 0.0
 
-    def follow(self, rate, burst, share, level, now) -> None:
+    def update_limits(self, rate, burst, share, level, now) -> None:
         """Take new limits, or a new share; ``level`` holds where there was none."""
         bucket = self._bucket
         bucket.refill(now)
         if self.share == 0.0:
             bucket.level = burst * share * level
         self.share = share
-        self._whole_burst = burst
+        self._customer_burst = burst
         bucket.rate, bucket.burst = rate * share, burst * share
         bucket.level = min(bucket.level, bucket.burst)
 
     def take(self, now: float) -> bool:
         """Take a token; return whether there was one."""
-        self._wanted += 1
+        self._n_requested += 1
         is_there = self._bucket.take(now)
-        self._taken += is_there
+        self._n_taken += is_there
         return is_there
 
-    def hand_on(self, now: float) -> Handful:
+    def release_surplus(self, now: float) -> TokenTransfer:
         """Take out what isn't kept here, for the host that keeps the tokens."""
-        seconds = now - self._handed_at
+        seconds = now - self._released_at
         if seconds > 0.0:
-            wanted = self._wanted / seconds
-            self._wanted_per_second += USED_GAIN * (wanted - self._wanted_per_second)
-            self._wanted, self._handed_at = 0, now
+            wanted = self._n_requested / seconds
+            self._demand_per_second += DEMAND_UPDATE_WEIGHT * (
+                wanted - self._demand_per_second
+            )
+            self._n_requested, self._released_at = 0, now
         bucket = self._bucket
         bucket.refill(now)
-        kept = min(self._wanted_per_second * KEPT_SECONDS, bucket.burst)
+        kept = min(self._demand_per_second * RETAINED_DEMAND_SECONDS, bucket.burst)
         if kept < 1.0:
             # Less than a token is of no use here.
             kept = 0.0
         tokens = max(0.0, bucket.level - kept)
         bucket.level -= tokens
-        stored = kept / self._whole_burst if self._whole_burst > 0.0 else 0.0
-        return self._handful(tokens, max(0.0, self.share - stored))
+        stored = kept / self._customer_burst if self._customer_burst > 0.0 else 0.0
+        return self._transfer(tokens, max(0.0, self.share - stored))
 
-    def drain(self, now: float) -> Handful:
+    def drain(self, now: float) -> TokenTransfer:
         """Take everything out: this host keeps the customer's tokens itself."""
         bucket = self._bucket
         bucket.refill(now)
         tokens, bucket.level = bucket.level, 0.0
-        return self._handful(tokens, self.share)
+        return self._transfer(tokens, self.share)
 
-    def _handful(self, tokens, share) -> Handful:
-        taken, self._taken = self._taken, 0
-        return Handful(tokens, share, taken)
+    def _transfer(self, tokens, share) -> TokenTransfer:
+        taken, self._n_taken = self._n_taken, 0
+        return TokenTransfer(tokens, share, taken)
--- a/packages/swifttide_core/src/swifttide_core/rates/_keeper_order.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_owner_ranking.py
@@ -5,7 +5,7 @@
 import xxhash
 
 
-def keeper_order(customer: str, hosts: Iterable[str]) -> list[str]:
+def rank_owners(customer: str, hosts: Iterable[str]) -> list[str]:
     """Return hosts in the order in which they keep a customer's tokens.
 
     By rendezvous hashing: hosts that see the same others find the same keeper without
--- a/packages/swifttide_core/src/swifttide_core/rates/_rate_pool.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_rate_pool.py
@@ -21,26 +21,26 @@
 from dataclasses import dataclass
 
 from swifttide_core.limits import TokenBucket
-from swifttide_core.rates._handful import Handful
-from swifttide_core.rates._standing import Granted, Queued, Short
+from swifttide_core.rates._token_decision import Denied, Granted, Queued
+from swifttide_core.rates._token_transfer import TokenTransfer
 
-FILLER_SECONDS = 0.5
+CONTRIBUTOR_TIMEOUT_SECONDS = 0.5
 """A host counts as filling a pool for so long after it last did: two messages lost
 in a row, and still short against the second in which another pool can fill."""
 
-GRANTED_SECONDS = 1.0
+GRANT_RETENTION_SECONDS = 1.0
 """An answer that was lost is given again for so long, without another token."""
 
-GUARD_RATE = 1.05
+GUARD_RATE_FACTOR = 1.05
 """Rate of the bucket that bounds the pool: tokens that wandered, or waited at the
 hosts that hold shares, come a little late."""
 
-MIN_STORED = 1.0
+MIN_CAPACITY_TOKENS = 1.0
 """A pool may always store one token; else a host that is cut off could serve nobody."""
 
 
 @dataclass(frozen=True, slots=True)
-class Asker:
+class RequestKey:
     """One request, at the host that it reached.
 
     Parameters
@@ -59,15 +59,15 @@
 
 
 @dataclass(slots=True)
-class _Filler:
+class _Contributor:
     boot: str
     number: int
     share: float
-    filled_at: float
+    deposited_at: float
 
 
 @dataclass(slots=True)
-class _Lent:
+class _HostGrants:
     """Tokens granted to a process's requests, and not returned."""
 
     boot: str
@@ -88,18 +88,20 @@
     def __init__(self, rate: float, burst: float, now: float):
         self.level = 0.0
         self._burst = burst
-        self._guard = TokenBucket.full(GUARD_RATE * rate, max(MIN_STORED, burst), now)
-        self._fillers: dict[str, _Filler] = {}
-        self._waiting: dict[Asker, float] = {}
-        self._granted: dict[Asker, float] = {}
-        self._lent: dict[str, _Lent] = {}
+        self._guard = TokenBucket.full(
+            GUARD_RATE_FACTOR * rate, max(MIN_CAPACITY_TOKENS, burst), now
+        )
+        self._contributors: dict[str, _Contributor] = {}
+        self._waiting: dict[RequestKey, float] = {}
+        self._granted: dict[RequestKey, float] = {}
+        self._outstanding: dict[str, _HostGrants] = {}
 
-    def follow(self, rate: float, burst: float, now: float) -> None:
+    def update_limits(self, rate: float, burst: float, now: float) -> None:
         """Take new limits of the customer."""
         self._burst = burst
         self._guard.refill(now)
-        self._guard.rate = GUARD_RATE * rate
-        self._guard.burst = max(MIN_STORED, burst)
+        self._guard.rate = GUARD_RATE_FACTOR * rate
+        self._guard.burst = max(MIN_CAPACITY_TOKENS, burst)
         self._guard.level = min(self._guard.level, self._guard.burst)
 
     @property
@@ -107,8 +109,8 @@
         """Requests that wait for a token."""
         return len(self._waiting)
 
-    def fill(
-        self, host: str, boot: str, number: int, handful: Handful, now: float
+    def deposit(
+        self, host: str, boot: str, number: int, transfer: TokenTransfer, now: float
     ) -> bool:
         """Take what a host handed on; return whether the message was news.
 
@@ -122,35 +124,37 @@
         handful : Handful
         now : float
         """
-        known = self._fillers.get(host)
+        known = self._contributors.get(host)
         if known is not None and known.boot == boot and number <= known.number:
             return False
-        handful = handful.checked(self._burst)
-        if handful is None:
+        transfer = transfer.clamped(self._burst)
+        if transfer is None:
             return False
-        self._fillers[host] = _Filler(boot, number, handful.share, now)
+        self._contributors[host] = _Contributor(boot, number, transfer.share, now)
         self._guard.refill(now)
         least = -self._guard.burst
-        self._guard.level = max(least, self._guard.level - handful.used)
-        self._credit(host, boot, handful.returned)
-        self._store(handful.tokens, now)
+        self._guard.level = max(least, self._guard.level - transfer.used)
+        self._credit_returned(host, boot, transfer.returned)
+        self._add_tokens(transfer.tokens, now)
         return True
 
-    def room(self, now: float) -> float:
+    def capacity(self, now: float) -> float:
         """Return how many tokens may be stored."""
         shares = sum(
             f.share
-            for f in self._fillers.values()
-            if now - f.filled_at < FILLER_SECONDS
+            for f in self._contributors.values()
+            if now - f.deposited_at < CONTRIBUTOR_TIMEOUT_SECONDS
         )
-        return max(MIN_STORED, self._burst * min(1.0, shares))
+        return max(MIN_CAPACITY_TOKENS, self._burst * min(1.0, shares))
 
     def drain(self, now: float) -> float:
         """Take all tokens out, for another host that keeps them from now on."""
-        tokens, self.level = min(self.level, self.room(now)), 0.0
+        tokens, self.level = min(self.level, self.capacity(now)), 0.0
         return tokens
 
-    def ask(self, asker: Asker, until: float, now: float) -> Granted | Queued | Short:
+    def request_token(
+        self, request: RequestKey, until: float, now: float
+    ) -> Granted | Queued | Denied:
         """Ask for a token.
 
         Parameters
@@ -162,54 +166,54 @@
             that is there at once and not wanted by those that wait.
         now : float
         """
-        self._forget(now)
-        if asker in self._granted:
+        self._expire(now)
+        if request in self._granted:
             return Granted()
-        if asker in self._waiting:
-            self._waiting[asker] = until
+        if request in self._waiting:
+            self._waiting[request] = until
             return Queued()
-        if not self._waiting and self._take(now):
-            self._grant(asker, now)
+        if not self._waiting and self._take_token(now):
+            self._grant(request, now)
             return Granted()
         if until <= now:
-            return Short(self._seconds_until(len(self._waiting) + 1, now))
-        self._waiting[asker] = until
+            return Denied(self._seconds_until_tokens(len(self._waiting) + 1, now))
+        self._waiting[request] = until
         return Queued()
 
-    def knows(self, asker: Asker) -> bool:
+    def has_request(self, request: RequestKey) -> bool:
         """Whether a request has asked before, and is not asking for the first time."""
-        return asker in self._waiting or asker in self._granted
+        return request in self._waiting or request in self._granted
 
-    def leave(self, asker: Asker) -> None:
+    def cancel(self, request: RequestKey) -> None:
         """Take a request out that no longer waits."""
-        self._waiting.pop(asker, None)
+        self._waiting.pop(request, None)
 
-    def serve(self, now: float) -> list[Asker]:
+    def grant_waiting(self, now: float) -> list[RequestKey]:
         """Return the requests that get a token now, in order."""
-        self._forget(now)
+        self._expire(now)
         served = []
-        for asker in list(self._waiting):
-            if not self._take(now):
+        for request in list(self._waiting):
+            if not self._take_token(now):
                 break
-            del self._waiting[asker]
-            self._grant(asker, now)
-            served.append(asker)
+            del self._waiting[request]
+            self._grant(request, now)
+            served.append(request)
         return served
 
-    def _take(self, now) -> bool:
-        self.level = min(self.level, self.room(now))
+    def _take_token(self, now) -> bool:
+        self.level = min(self.level, self.capacity(now))
         if self.level + 1e-9 < 1.0 or not self._guard.take(now):
             return False
         self.level = max(0.0, self.level - 1.0)
         return True
 
-    def _credit(self, host, boot, returned):
+    def _credit_returned(self, host, boot, returned):
         """Let tokens that come back be granted again, but no others.
 
         A program that loops asks for turns that its budget no longer holds, and each
         returns its token; without this its customer's other programs would starve.
         """
-        lent = self._lent.get(host)
+        lent = self._outstanding.get(host)
         if lent is None or lent.boot != boot:
             return
         credit = min(returned, lent.tokens)
@@ -217,26 +221,26 @@
         level = self._guard.level + credit
         self._guard.level = min(self._guard.burst, level)
 
-    def _grant(self, asker, now):
-        self._granted[asker] = now
-        lent = self._lent.get(asker.host)
-        if lent is None or lent.boot != asker.boot:
-            lent = self._lent[asker.host] = _Lent(asker.boot)
+    def _grant(self, request, now):
+        self._granted[request] = now
+        lent = self._outstanding.get(request.host)
+        if lent is None or lent.boot != request.boot:
+            lent = self._outstanding[request.host] = _HostGrants(request.boot)
         lent.tokens += 1.0
 
-    def _store(self, tokens, now):
-        self.level = min(self.level + tokens, self.room(now))
+    def _add_tokens(self, tokens, now):
+        self.level = min(self.level + tokens, self.capacity(now))
 
-    def _seconds_until(self, tokens, now) -> float:
+    def _seconds_until_tokens(self, tokens, now) -> float:
         """Return when so many tokens have come in, if all is well."""
         missing = max(0.0, tokens - self.level)
-        rate = self._guard.rate / GUARD_RATE
+        rate = self._guard.rate / GUARD_RATE_FACTOR
         return missing / rate if rate > 0.0 else math.inf
 
-    def _forget(self, now):
+    def _expire(self, now):
         self._waiting = {a: t for a, t in self._waiting.items() if t > now}
         while self._granted:
             oldest = next(iter(self._granted))
-            if now - self._granted[oldest] < GRANTED_SECONDS:
+            if now - self._granted[oldest] < GRANT_RETENTION_SECONDS:
                 break
             del self._granted[oldest]
--- a/packages/swifttide_core/src/swifttide_core/rates/_standing.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_token_decision.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Short:
+class Denied:
     """There is no token for it.
 
     Parameters
@@ -26,4 +26,4 @@
     seconds: float
 
 
-Standing = Granted | Queued | Short
+TokenDecision = Granted | Queued | Denied
--- a/packages/swifttide_core/src/swifttide_core/rates/_handful.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_token_transfer.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Handful:
+class TokenTransfer:
     """What a host hands on.
 
     Parameters
@@ -26,15 +26,15 @@
     used: float = 0.0
     returned: float = 0.0
 
-    def plus(self, tokens: float, returned: float) -> "Handful":
+    def with_pool_tokens(self, tokens: float, returned: float) -> "TokenTransfer":
         """Return it with more tokens, and with some that were granted before."""
         return replace(self, tokens=self.tokens + tokens + returned, returned=returned)
 
-    def checked(self, burst: float) -> "Handful | None":
+    def clamped(self, burst: float) -> "TokenTransfer | None":
         """Return it within its bounds; None for figures that aren't numbers."""
         if not all(map(math.isfinite, astuple(self))):
             return None
-        return Handful(
+        return TokenTransfer(
             min(burst, max(0.0, self.tokens)),
             min(1.0, max(0.0, self.share)),
             min(burst, max(0.0, self.used)),
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_keeper_choice.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_keeper_choice.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from swifttide_core.rates import keeper_order
+from swifttide_core.rates import rank_owners
 from swifttide_daemon.gateway.peers._elapsed_clock import elapsed_seconds
 from swifttide_daemon.gateway.peers._fleet import Fleet
 
@@ -40,7 +40,7 @@
             for host in self._holders()
             if host == self._own_ip or self._fleet.is_heard(host)
         ]
-        return (keeper_order(name, tuple(heard)) or [self._own_ip])[0] == self._own_ip
+        return (rank_owners(name, tuple(heard)) or [self._own_ip])[0] == self._own_ip
 
     def n_holders(self) -> int:
         """Return the number of hosts among which keepers are."""
@@ -59,5 +59,5 @@
         if found != self._ordered_for:
             self._ordered_for, self._orders = found, {}
         if name not in self._orders:
-            self._orders[name] = keeper_order(name, found) or [own]
+            self._orders[name] = rank_owners(name, found) or [own]
         return self._orders[name]
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_rate_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_rate_keeper.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 
 from swifttide_core.forwarding import CustomerTerms
-from swifttide_core.rates import Asker, Granted, Queued, Short, Standing
+from swifttide_core.rates import Denied, Granted, Queued, RequestKey, TokenDecision
 from swifttide_daemon.gateway.callers._refusal import Refusal
 from swifttide_daemon.gateway.peers._fleet import Fleet
 from swifttide_daemon.gateway.rates._rate_messages import (
@@ -66,15 +66,15 @@
     may_be_new: bool
     kind: str
     news: asyncio.Event = field(default_factory=asyncio.Event)
-    told: Standing | None = None
+    told: TokenDecision | None = None
 
-    def tell(self, standing: Standing) -> None:
+    def tell(self, standing: TokenDecision) -> None:
         """Take an answer; a token that was granted stays so."""
         if not isinstance(self.told, Granted):
             self.told = standing
         self.news.set()
 
-    async def hear(self, seconds: float) -> Standing | None:
+    async def hear(self, seconds: float) -> TokenDecision | None:
         """Return the next answer; None if there is none in time."""
         try:
             async with asyncio.timeout(max(0.0, seconds)):
@@ -221,8 +221,8 @@
                 break
             del account.closed[old]
 
-    def _asker(self, number) -> Asker:
-        return Asker(self._own.ip, self._own.boot, number)
+    def _asker(self, number) -> RequestKey:
+        return RequestKey(self._own.ip, self._own.boot, number)
 
     async def _wait(self, terms, number, question, wait_seconds) -> float:
         """Ask until there is a token or time is up; return when to come back."""
@@ -238,14 +238,14 @@
                     pause = min(ASK_AGAIN_SECONDS, until - loop.time())
                     if isinstance(await question.hear(pause), Granted):
                         break
-                case Short(seconds):
+                case Denied(seconds):
                     if question.may_be_new or not wait_seconds:
                         break
                     if isinstance(await question.hear(ANSWER_SECONDS), Granted):
                         break
         return seconds
 
-    async def _ask(self, terms, number, question, patience) -> Standing | None:
+    async def _ask(self, terms, number, question, patience) -> TokenDecision | None:
         """Return what a keeper says; None if it says nothing."""
         keeper = self._shares.keepers(terms.name)[0]
         if keeper == self._own.ip:
@@ -288,7 +288,7 @@
         raise Refusal(429, "rate_limited", wait)
 
 
-def _standing_of(answer: RateAnswer) -> Standing:
+def _standing_of(answer: RateAnswer) -> TokenDecision:
     if answer.is_granted:
         return Granted()
-    return Queued() if answer.is_queued else Short(max(0.0, answer.seconds))
+    return Queued() if answer.is_queued else Denied(max(0.0, answer.seconds))
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_rate_shares.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_rate_shares.py
@@ -9,16 +9,16 @@
 
 from swifttide_core.forwarding import CustomerTerms
 from swifttide_core.rates import (
-    Asker,
+    ActivePrograms,
+    Denied,
     Granted,
-    Handful,
     LocalShare,
-    ProgramLoad,
-    ProgramSizes,
+    ProgramSizeEstimates,
     Queued,
     RatePool,
-    Short,
-    Standing,
+    RequestKey,
+    TokenDecision,
+    TokenTransfer,
 )
 from swifttide_daemon.gateway.peers._elapsed_clock import elapsed_seconds
 from swifttide_daemon.gateway.peers._fleet import Fleet
@@ -53,14 +53,16 @@
     terms: CustomerTerms
     local: LocalShare
     pool: RatePool
-    programs: ProgramLoad
+    programs: ActivePrograms
     returned: float = 0.0
     serving: asyncio.TimerHandle | None = None
 
     @property
     def has_tokens(self) -> bool:
         """Whether there may be something to hand on."""
-        return self.local.is_due or self.pool.level > 0.0 or self.returned > 0.0
+        return (
+            self.local.may_have_tokens or self.pool.level > 0.0 or self.returned > 0.0
+        )
 
 
 class RateShares:
@@ -99,7 +101,7 @@
         self._on_granted = on_granted
         self._customers: dict[str, _Customer] = {}
         self._number = 0
-        self._sizes = ProgramSizes()
+        self._sizes = ProgramSizeEstimates()
         self._extra = EXTRA_PART * extra
         self.share = 0.0
 
@@ -138,38 +140,40 @@
     def ask(
         self,
         terms: CustomerTerms,
-        asker: Asker,
+        asker: RequestKey,
         wait_seconds: float,
         program: str = "",
         may_be_new: bool = False,
         kind: str = "",
-    ) -> Standing:
+    ) -> TokenDecision:
         """Ask for a token here."""
         known = self.customer(terms)
         now = elapsed_seconds()
         self._fill_own(known, now)
-        is_new = may_be_new and not known.programs.knows(program)
+        is_new = may_be_new and not known.programs.is_active(program)
         if is_new:
             wait_seconds = 0.0
-            seconds = known.programs.seconds_until_room(
+            seconds = known.programs.seconds_until_admission(
                 known.pool.level, terms.rate_per_second, now, kind
             )
             if seconds > 0.0:
-                return Short(seconds)
-        asks_again = known.pool.knows(asker)
-        standing = known.pool.ask(asker, now + wait_seconds, now)
+                return Denied(seconds)
+        asks_again = known.pool.has_request(asker)
+        standing = known.pool.request_token(asker, now + wait_seconds, now)
         if isinstance(standing, Queued):
             self._serve_later(known)
         # Counted once: a program that waits would seem larger the longer it waits.
-        if program and not asks_again and not isinstance(standing, Short):
-            known.programs.note(program, isinstance(standing, Queued), now, kind)
+        if program and not asks_again and not isinstance(standing, Denied):
+            known.programs.record_request(
+                program, isinstance(standing, Queued), now, kind
+            )
         return standing
 
-    def leave(self, customer: str, asker: Asker) -> None:
+    def leave(self, customer: str, asker: RequestKey) -> None:
         """Take a request out that no longer waits here."""
         known = self._customers.get(customer)
         if known is not None:
-            known.pool.leave(asker)
+            known.pool.cancel(asker)
 
     def answer(self, ask: AskRate, sender: str) -> None:
         """Answer another host's question, or pass it on to the keeper."""
@@ -181,7 +185,7 @@
         if keeper not in (self._own.ip, asking) and not ask.ip:
             self._send(keeper, msgspec.structs.replace(ask, ip=sender))
             return
-        asker = Asker(asking, ask.boot, ask.number)
+        asker = RequestKey(asking, ask.boot, ask.number)
         standing = self.ask(
             known.terms,
             asker,
@@ -196,7 +200,7 @@
                 answer.is_granted = True
             case Queued():
                 answer.is_queued = True
-            case Short(seconds):
+            case Denied(seconds):
                 answer.seconds = seconds
         self._send(asking, answer)
 
@@ -209,8 +213,8 @@
             known = self._customers.get(name)
             if known is None:
                 continue
-            handful = Handful(*fields)
-            known.pool.fill(sender, handed.boot, handed.number, handful, now)
+            handful = TokenTransfer(*fields)
+            known.pool.deposit(sender, handed.boot, handed.number, handful, now)
             if known.pool.n_waiting:
                 self._serve(known)
 
@@ -225,13 +229,13 @@
         if known is None:
             local = LocalShare(rate, burst, self.share, level, now)
             pool = RatePool(rate, burst, now)
-            known = _Customer(terms, local, pool, ProgramLoad(self._sizes))
+            known = _Customer(terms, local, pool, ActivePrograms(self._sizes))
             self._customers[terms.name] = known
             return known
         if known.terms is not terms or known.local.share != self.share:
             known.terms = terms
-            known.local.follow(rate, burst, self.share, level, now)
-            known.pool.follow(rate, burst, now)
+            known.local.update_limits(rate, burst, self.share, level, now)
+            known.pool.update_limits(rate, burst, now)
         return known
 
     def _fill_own(self, known, now):
@@ -240,9 +244,9 @@
         if self.keepers(known.terms.name)[0] != own.ip:
             return
         self._number += 1
-        handful = known.local.drain(now).plus(0.0, known.returned)
+        handful = known.local.drain(now).with_pool_tokens(0.0, known.returned)
         known.returned = 0.0
-        known.pool.fill(own.ip, own.boot, self._number, handful, now)
+        known.pool.deposit(own.ip, own.boot, self._number, handful, now)
 
     def _hand_on(self):
         now = elapsed_seconds()
@@ -258,7 +262,9 @@
             if not known.has_tokens:
                 continue
             left = known.pool.drain(now)
-            handful = known.local.hand_on(now).plus(left, known.returned)
+            handful = known.local.release_surplus(now).with_pool_tokens(
+                left, known.returned
+            )
             known.returned = 0.0
             fields = dataclasses.astuple(handful)
             handed.setdefault(keeper, {})[name] = tuple(round(f, 4) for f in fields)
@@ -278,7 +284,7 @@
     def _serve(self, known):
         """Give tokens to requests that wait, in order."""
         name = known.terms.name
-        for asker in known.pool.serve(elapsed_seconds()):
+        for asker in known.pool.grant_waiting(elapsed_seconds()):
             if asker.host == self._own.ip:
                 self._on_granted(name, asker.number)
                 continue
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_program_rates.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_program_rates.py
@@ -151,10 +151,10 @@
                 await keeper.take("r", terms, 1.5, "p")
             await asyncio.sleep(2.0)
             await keeper.take("r", terms, 1.5, "q", True)
-            return keeper._shares._sizes.of("")
+            return keeper._shares._sizes.get("")
 
         sizes = run_paused(main())
-        assert sizes.n_seen == 1
+        assert sizes.n_programs == 1
         assert sizes.calls == pytest.approx(6.0 + (2 - 6.0) / 3)
 
     def test_customer_within_its_rate_begins_all_programs(self, log):
