--- a/packages/swifttide_core/src/swifttide_core/rates/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/__init__.py
@@ -1,4 +1,8 @@
-"""Rates of customers, gathered from the shares that hosts hold."""
+"""Distributed rate limiting of customers.
+
+Each of some hosts refills a share of a customer's rate and forwards the tokens that it
+does not need to the one host that owns the customer's token pool.
+"""
 
 from swifttide_core.rates._active_programs import ActivePrograms
 from swifttide_core.rates._local_share import LocalShare
--- a/packages/swifttide_core/src/swifttide_core/rates/_active_programs.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_active_programs.py
@@ -1,14 +1,18 @@
-"""Whether a customer's rate carries another program.
+"""Admission of new programs to a customer's rate.
 
-Load pattern: a customer begins more programs than its rate can finish; each makes some
-twenty requests, several at a time.
+Decides whether the rate of a customer suffices for one more program, from the tokens in
+the pool, the refill rate, the requests made so far by active programs, and the usual
+size of programs of the same kind. It matters when a customer starts more programs than
+its rate can complete, where each program makes some twenty requests, several of them
+concurrently.
 
-Without it: new programs take the tokens of those under way, all wait for each other,
-and most end late or fail at a request that is refused after all that was spent on them.
+Without it, new programs would consume the tokens of active ones. All programs would
+wait for each other, and most would end late, or fail at a request that is refused after
+all the work that was spent on them.
 
-Grounds: what programs take is learned from those seen to their end. A program that has
-made as many requests as is usual goes on for a part of that: who has taken more than
-others mostly takes still more.
+The usual size is estimated from completed programs. A program that has reached the
+usual number of requests is expected to make a further fraction of that number, because
+a program that has exceeded the usual number mostly makes still more requests.
 """
 
 from dataclasses import dataclass
@@ -16,19 +20,20 @@
 from swifttide_core.rates._program_size_estimates import ProgramSizeEstimates
 
 PROGRAM_IDLE_SECONDS = 1.2
-"""A program without a request for so long has ended: a turn takes some 0.4 s and the
-pause after it 0.25 s at most."""
+"""Time without a request after which a program counts as ended. A turn takes some
+0.4 s and the pause after it at most 0.25 s."""
 
 ADMISSION_HORIZON_FACTOR = 1.3
-"""Times the usual length in which programs may be carried to their end: callers allow
-half as long again."""
+"""Multiple of the usual duration within which the rate must supply the tokens of all
+active programs. Callers tolerate 1.5 times the usual duration."""
 
 MIN_REMAINING_FRACTION = 0.25
-"""Part of the usual number of requests that any program under way is expected to make
-still."""
+"""Smallest number of further requests expected of any active program, as a fraction of
+the usual number of requests."""
 
 MAX_RETRY_SECONDS = 1.0
-"""Longest time that a new program is told to stay away: most programs end sooner."""
+"""Upper bound of the retry delay given to a new program. Most programs end within this
+time."""
 
 
 @dataclass(slots=True)
@@ -41,12 +46,12 @@
 
 
 class ActivePrograms:
-    """Programs of one customer that are under way.
+    """Active programs of one customer.
 
     Parameters
     ----------
-    sizes : ProgramSizes
-        Shared by all customers of a host.
+    sizes : ProgramSizeEstimates
+        Estimates by kind of program, shared by all customers of a host.
     """
 
     def __init__(self, sizes: ProgramSizeEstimates):
@@ -54,22 +59,24 @@
         self._programs: dict[str, _ActiveProgram] = {}
 
     def is_active(self, program: str) -> bool:
-        """Whether a program has made requests of late."""
+        """Return whether a program is active, as of the last removal of idle ones."""
         return program in self._programs
 
     def record_request(
         self, program: str, has_waited: bool, now: float, kind: str = ""
     ) -> None:
-        """Count a request of a program.
+        """Record a request of a program.
 
         Parameters
         ----------
         program : str
+            Key of the program.
         has_waited : bool
-            Whether there was no token for it at once.
+            Whether the request could not get a token immediately.
         now : float
+            Monotonic time, in seconds.
         kind : str
-            Of the program, which its first request tells.
+            Kind of the program; used only with its first request.
         """
         known = self._programs.get(program)
         if known is None:
@@ -85,17 +92,23 @@
         now: float,
         kind: str = "",
     ) -> float:
-        """Return when a new program may be let in; 0 for now.
+        """Return the delay after which a new program may be admitted.
 
         Parameters
         ----------
         level : float
-            Tokens that are there.
+            Tokens in the customer's pool.
         rate : float
-            Tokens that come in a second.
+            Refill rate of the customer, in tokens per second.
         now : float
+            Monotonic time, in seconds.
         kind : str
-            Of the new program.
+            Kind of the new program.
+
+        Returns
+        -------
+        float
+            Seconds, at most ``MAX_RETRY_SECONDS``; 0 if it may be admitted now.
         """
         self._remove_ended(now)
         if not self._programs or rate <= 0.0:
@@ -108,17 +121,18 @@
         return min(MAX_RETRY_SECONDS, max(0.0, needed - carried) / rate)
 
     def _remaining_requests(self, program) -> float:
-        """Return the requests that a program under way is expected to make still."""
+        """Return the expected number of further requests of an active program."""
         usual = self._sizes.get(program.kind).calls
         return max(usual * MIN_REMAINING_FRACTION, usual - program.calls)
 
     def _remove_ended(self, now):
-        """Drop programs that have ended, and learn from them."""
+        """Remove ended programs and update the size estimates from them."""
         for name, program in list(self._programs.items()):
             if now - program.seen_at >= PROGRAM_IDLE_SECONDS:
                 del self._programs[name]
-                # Programs that waited for tokens would make any number of others
-                # seem to fit in beside them.
+                # The duration of a program that waited for tokens is not used: it
+                # would raise the estimated duration, and with it the number of
+                # programs that seem to fit into the rate.
                 length = program.seen_at - program.began_at
                 size = self._sizes.get(program.kind)
                 size.update(program.calls, None if program.has_waited else length)
--- a/packages/swifttide_core/src/swifttide_core/rates/_local_share.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_local_share.py
@@ -1,38 +1,40 @@
-"""A host's own share of a customer's rate.
-
-Load pattern: a few hosts see many requests of a large customer each; most hosts see one
-of a small customer now and then.
-
-Without it: every request of a large customer would ask the host that keeps the tokens,
-two messages and some milliseconds each.
-
-Grounds: a host keeps of its own share what it used itself of late; all else it hands on
-to where the customer's tokens are gathered. What it keeps is taken off the part of the
-burst that is stored there for it, so that nothing is stored twice.
+"""Token bucket for one host's share of a customer's rate.
+
+Decides how many of the tokens that are refilled at a host stay there, from the recent
+demand at that host. It retains enough for that demand and transfers the surplus to the
+customer's pool at the owner host. The capacity of the retained tokens is subtracted
+from the capacity that the pool reserves for this host, so that no part of the burst is
+stored twice.
+
+It serves a load in which a few hosts receive many requests of a large customer each,
+while most hosts receive only an occasional request of a small customer. Without it,
+every request of a large customer would query the owner host, at the cost of two
+messages and some milliseconds.
 """
 
 from swifttide_core.limits import TokenBucket
 from swifttide_core.rates._token_transfer import TokenTransfer
 
 RETAINED_DEMAND_SECONDS = 0.4
-"""A host keeps what it uses in so long: two handings-on."""
+"""Period of recent demand for which tokens are retained: two transfer intervals."""
 
 DEMAND_UPDATE_WEIGHT = 0.3
-"""Weight of the newest interval in the estimate of what is used a second."""
+"""Weight of the newest transfer interval in the moving average of the demand."""
 
 
 class LocalShare:
-    """What comes in at this host, and how much of it is kept.
+    """Share of one customer's rate that is refilled at this host.
 
     Parameters
     ----------
     rate, burst : float
-        Of the customer, over all hosts together.
+        Limits of the customer over all hosts, in tokens per second and in tokens.
     share : float
-        Part of both that is this host's.
+        Fraction of both limits that is assigned to this host.
     level : float
-        Part of its burst that it starts with.
+        Initial fill, as a fraction of this host's part of the burst.
     now : float
+        Monotonic time, in seconds.
     """
 
     def __init__(self, rate: float, burst: float, share: float, level: float, now):
@@ -48,11 +50,11 @@
 
     @property
     def may_have_tokens(self) -> bool:
-        """Whether there is or was a share of which something may be handed on."""
+        """Whether there may be tokens to transfer, from this or an earlier share."""
         return self.share > 0.0 or self._bucket.level > 0.0
 
     def update_limits(self, rate, burst, share, level, now) -> None:
-        """Take new limits, or a new share; ``level`` holds where there was none."""
+        """Apply new limits or a new share; ``level`` applies if there was no share."""
         bucket = self._bucket
         bucket.refill(now)
         if self.share == 0.0:
@@ -63,34 +65,34 @@
         bucket.level = min(bucket.level, bucket.burst)
 
     def take(self, now: float) -> bool:
-        """Take a token; return whether there was one."""
+        """Take one token; return whether one was available."""
         self._n_requested += 1
-        is_there = self._bucket.take(now)
-        self._n_taken += is_there
-        return is_there
+        is_available = self._bucket.take(now)
+        self._n_taken += is_available
+        return is_available
 
     def release_surplus(self, now: float) -> TokenTransfer:
-        """Take out what isn't kept here, for the host that keeps the tokens."""
+        """Remove the tokens beyond the local demand, for the owner of the pool."""
         seconds = now - self._released_at
         if seconds > 0.0:
-            wanted = self._n_requested / seconds
+            demand = self._n_requested / seconds
             self._demand_per_second += DEMAND_UPDATE_WEIGHT * (
-                wanted - self._demand_per_second
+                demand - self._demand_per_second
             )
             self._n_requested, self._released_at = 0, now
         bucket = self._bucket
         bucket.refill(now)
-        kept = min(self._demand_per_second * RETAINED_DEMAND_SECONDS, bucket.burst)
-        if kept < 1.0:
-            # Less than a token is of no use here.
-            kept = 0.0
-        tokens = max(0.0, bucket.level - kept)
+        retained = min(self._demand_per_second * RETAINED_DEMAND_SECONDS, bucket.burst)
+        if retained < 1.0:
+            # A request needs a whole token, so a smaller reserve is useless.
+            retained = 0.0
+        tokens = max(0.0, bucket.level - retained)
         bucket.level -= tokens
-        stored = kept / self._customer_burst if self._customer_burst > 0.0 else 0.0
+        stored = retained / self._customer_burst if self._customer_burst > 0.0 else 0.0
         return self._transfer(tokens, max(0.0, self.share - stored))
 
     def drain(self, now: float) -> TokenTransfer:
-        """Take everything out: this host keeps the customer's tokens itself."""
+        """Remove all tokens, where this host itself owns the customer's pool."""
         bucket = self._bucket
         bucket.refill(now)
         tokens, bucket.level = bucket.level, 0.0
--- a/packages/swifttide_core/src/swifttide_core/rates/_owner_ranking.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_owner_ranking.py
@@ -1,4 +1,4 @@
-"""Which host keeps a customer's tokens."""
+"""Selection of the host that owns a customer's token pool."""
 
 from collections.abc import Iterable
 
@@ -6,16 +6,23 @@
 
 
 def rank_owners(customer: str, hosts: Iterable[str]) -> list[str]:
-    """Return hosts in the order in which they keep a customer's tokens.
+    """Return hosts in order of preference as owner of a customer's token pool.
 
-    By rendezvous hashing: hosts that see the same others find the same keeper without
-    asking anybody, and a host that comes or goes moves only the customers it keeps.
+    The order follows from rendezvous hashing. Hosts with the same view of the fleet
+    select the same owner without communication, and a host that joins or leaves moves
+    only the customers that it owns.
 
     Parameters
     ----------
     customer : str
+        Name of the customer.
     hosts : iterable of str
-        Addresses.
+        Addresses of the candidates.
+
+    Returns
+    -------
+    list of str
+        Addresses; the first is the owner, the next ones are its successors.
     """
 
     def weight(host: str) -> tuple[int, str]:
--- a/packages/swifttide_core/src/swifttide_core/rates/_program_size_estimates.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_program_size_estimates.py
@@ -1,40 +1,47 @@
-"""What programs usually take of their customer's rate."""
+"""Estimates of the number of requests and the duration of programs.
+
+The estimates are exponentially weighted means over completed programs, kept for each
+kind of program. The admission of new programs to a customer's rate is based on them.
+"""
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
 PRIOR_REQUESTS = 6.0
 PRIOR_SECONDS = 1.5
-"""A few turns with a tool each: small, so that nothing is held back before programs
-have been seen."""
+"""Prior estimates of requests and duration: a few turns with one tool call each. They
+are small, so that no program is delayed before any program has completed."""
 
 PRIOR_PROGRAMS = 2
-"""Programs that the figures above count as."""
+"""Weight of the prior estimates, in completed programs."""
 
 MIN_UPDATE_WEIGHT = 0.05
-"""Weight of the newest program: some twenty programs make the estimate."""
+"""Smallest weight of the newest program. The estimate averages over some twenty
+programs."""
 
 OUTLIER_CAP_FACTOR = 3.0
-"""A program counts for so many times the usual at most: one that loops would make all
-others look large."""
+"""Multiple of the current estimate at which a new observation is capped. Otherwise one
+program in an endless loop would inflate the estimate for all others."""
 
 
 MAX_KINDS = 256
-"""Kinds of programs remembered, some 100 bytes each."""
+"""Largest number of kinds with an estimate, some 100 bytes each; the least recently
+used one is evicted."""
 
 
 @dataclass(slots=True)
 class ProgramSizeEstimate:
-    """Means over the programs of one kind that a host has seen to their end.
+    """Weighted means over the completed programs of one kind at one host.
 
     Parameters
     ----------
     calls : float
         Requests of a program.
     seconds : float
-        From its first to its last, where none of them waited.
-    n_seen : int
-        Programs seen to their end.
+        Time from the first request of a program to its last one, over programs none of
+        whose requests waited for a token.
+    n_programs : int
+        Number of completed programs.
     """
 
     calls: float = PRIOR_REQUESTS
@@ -42,7 +49,7 @@
     n_programs: int = 0
 
     def update(self, calls: int, seconds: float | None) -> None:
-        """Take in a program that has ended; None for a length that tells nothing."""
+        """Add a completed program; `seconds` is None if its duration is not usable."""
         self.n_programs += 1
         gain = max(MIN_UPDATE_WEIGHT, 1.0 / (self.n_programs + PRIOR_PROGRAMS))
         self.calls += gain * (
@@ -54,13 +61,13 @@
 
 
 class ProgramSizeEstimates:
-    """Sizes of programs by their kind."""
+    """Size estimates by kind of program."""
 
     def __init__(self):
         self._kinds: OrderedDict[str, ProgramSizeEstimate] = OrderedDict()
 
     def get(self, kind: str) -> ProgramSizeEstimate:
-        """Return what is known of a kind; a guess before any was seen."""
+        """Return the estimate of a kind; the prior one before any has completed."""
         size = self._kinds.get(kind)
         if size is None:
             size = self._kinds[kind] = ProgramSizeEstimate()
--- a/packages/swifttide_core/src/swifttide_core/rates/_rate_pool.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_rate_pool.py
@@ -1,20 +1,26 @@
-"""A customer's tokens, gathered at one host.
-
-Load pattern: a customer's requests arrive at any of many hosts, each host seeing one
-now and then; its rate is shared out among hosts, so that no message, cut or crash can
-give it more.
-
-Without it: with many hosts no share ever holds a whole token. Of 69 hosts with equal
-shares of customers of 5 to 63 requests a second, 0.37 of all requests were refused on
-a calm day though every customer was within its rate.
-
-Grounds: tokens come in at the hosts that hold shares and leave them before they reach
-the pool, so the shares bound what all pools together take in. How much a pool may
-store follows those that fill it: a burst in proportion to their shares. A pool that
-others have turned away from may store no more than one token, so that two pools of one
-customer don't hold its burst twice. What a pool hands out, together with what hosts
-took out of their shares themselves, is bounded once more by a bucket of the whole rate,
-so that forged messages can't lift it.
+"""Pool of a customer's tokens at the host that owns the customer.
+
+Decides which requests of a customer get a token, from the tokens that hosts transfer
+out of their shares of the customer's rate. Requests that may wait are served in order
+of arrival.
+
+It serves a load in which the requests of a customer arrive at any of many hosts, each
+of which receives one only occasionally. The rate is divided into shares of hosts, so
+that no lost or repeated message, network partition or crash can raise it. Without the
+pool no share would ever hold a whole token in a large fleet: with 69 hosts and equal
+shares of customers of 5 to 63 requests per second, a fraction of 0.37 of all requests
+was refused at normal load although every customer was within its rate.
+
+Three rules bound the tokens that are granted:
+
+* Tokens are refilled at the hosts that hold shares and are removed there before they
+  reach a pool. The shares therefore bound the inflow of all pools together.
+* The capacity of a pool is the part of the burst that corresponds to the shares of the
+  hosts that currently contribute to it. A pool without contributors stores at most one
+  token, so that two pools of one customer do not store the burst twice.
+* A second bucket with the whole rate of the customer, the guard, bounds the grants of
+  the pool together with the tokens that hosts spent from their own shares. Forged
+  messages therefore cannot raise the rate.
 """
 
 import math
@@ -25,32 +31,35 @@
 from swifttide_core.rates._token_transfer import TokenTransfer
 
 CONTRIBUTOR_TIMEOUT_SECONDS = 0.5
-"""A host counts as filling a pool for so long after it last did: two messages lost
-in a row, and still short against the second in which another pool can fill."""
+"""Time after its last transfer for which a host counts as a contributor of a pool. It
+covers two consecutive lost messages, and is short compared to the second in which
+another pool of the same customer can fill."""
 
 GRANT_RETENTION_SECONDS = 1.0
-"""An answer that was lost is given again for so long, without another token."""
+"""Time for which a grant is remembered. A request that repeats its question because the
+answer was lost is granted again within this time without a second token."""
 
 GUARD_RATE_FACTOR = 1.05
-"""Rate of the bucket that bounds the pool: tokens that wandered, or waited at the
-hosts that hold shares, come a little late."""
+"""Rate of the guard as a multiple of the customer's rate. It is above 1 because tokens
+that were moved between pools, or retained at hosts with shares, arrive late."""
 
 MIN_CAPACITY_TOKENS = 1.0
-"""A pool may always store one token; else a host that is cut off could serve nobody."""
+"""Smallest capacity of a pool. With less than one token, a partitioned host could not
+serve any request."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestKey:
-    """One request, at the host that it reached.
+    """Identity of a request within the fleet.
 
     Parameters
     ----------
     host : str
-        Address.
+        Address of the host that received the request from its caller.
     boot : str
-        Of the host's process.
+        Identifier of that host's process.
     number : int
-        Of the request at that host.
+        Number of the request at that host.
     """
 
     host: str
@@ -68,7 +77,7 @@
 
 @dataclass(slots=True)
 class _HostGrants:
-    """Tokens granted to a process's requests, and not returned."""
+    """Tokens granted to requests of one host process and not returned."""
 
     boot: str
     tokens: float = 0.0
@@ -80,9 +89,9 @@
     Parameters
     ----------
     rate, burst : float
-        Of the customer, over all hosts together.
+        Limits of the customer over all hosts, in tokens per second and in tokens.
     now : float
-        Seconds of a clock that also counts while the machine is suspended.
+        Time in seconds, of a clock that continues while the machine is suspended.
     """
 
     def __init__(self, rate: float, burst: float, now: float):
@@ -97,7 +106,7 @@
         self._outstanding: dict[str, _HostGrants] = {}
 
     def update_limits(self, rate: float, burst: float, now: float) -> None:
-        """Take new limits of the customer."""
+        """Apply new limits of the customer."""
         self._burst = burst
         self._guard.refill(now)
         self._guard.rate = GUARD_RATE_FACTOR * rate
@@ -106,64 +115,69 @@
 
     @property
     def n_waiting(self) -> int:
-        """Requests that wait for a token."""
+        """Number of requests that wait for a token."""
         return len(self._waiting)
 
     def deposit(
         self, host: str, boot: str, number: int, transfer: TokenTransfer, now: float
     ) -> bool:
-        """Take what a host handed on; return whether the message was news.
+        """Add the tokens that a host transferred.
 
         Parameters
         ----------
         host, boot : str
-            Sender and its process.
+            Address of the sender, and identifier of its process.
         number : int
-            Grows with each message of a process; an older one, or the same again,
-            changes nothing.
-        handful : Handful
+            Sequence number of the message, which increases within a process. A message
+            that is repeated or older than the last one is ignored.
+        transfer : TokenTransfer
         now : float
+
+        Returns
+        -------
+        bool
+            Whether the transfer was applied.
         """
-        known = self._contributors.get(host)
-        if known is not None and known.boot == boot and number <= known.number:
+        previous = self._contributors.get(host)
+        if previous is not None and previous.boot == boot and number <= previous.number:
             return False
         transfer = transfer.clamped(self._burst)
         if transfer is None:
             return False
         self._contributors[host] = _Contributor(boot, number, transfer.share, now)
         self._guard.refill(now)
-        least = -self._guard.burst
-        self._guard.level = max(least, self._guard.level - transfer.used)
+        min_level = -self._guard.burst
+        self._guard.level = max(min_level, self._guard.level - transfer.used)
         self._credit_returned(host, boot, transfer.returned)
         self._add_tokens(transfer.tokens, now)
         return True
 
     def capacity(self, now: float) -> float:
-        """Return how many tokens may be stored."""
+        """Return the largest number of tokens that may be stored now."""
         shares = sum(
-            f.share
-            for f in self._contributors.values()
-            if now - f.deposited_at < CONTRIBUTOR_TIMEOUT_SECONDS
+            c.share
+            for c in self._contributors.values()
+            if now - c.deposited_at < CONTRIBUTOR_TIMEOUT_SECONDS
         )
         return max(MIN_CAPACITY_TOKENS, self._burst * min(1.0, shares))
 
     def drain(self, now: float) -> float:
-        """Take all tokens out, for another host that keeps them from now on."""
+        """Remove and return all tokens, for the next owner of the pool."""
         tokens, self.level = min(self.level, self.capacity(now)), 0.0
         return tokens
 
     def request_token(
         self, request: RequestKey, until: float, now: float
     ) -> Granted | Queued | Denied:
-        """Ask for a token.
+        """Request a token.
 
         Parameters
         ----------
-        asker : Asker
-            The same again, as when an answer was lost, gets no second token.
+        request : RequestKey
+            A repeated request, as after a lost answer, does not get a second token.
         until : float
-            How long the request may wait here; a time that is over asks for a token
-            that is there at once and not wanted by those that wait.
+            Time until which the request may wait. With a time that has passed, the
+            request is granted only if a token is available and no request waits.
         now : float
         """
         self._expire(now)
@@ -181,15 +195,15 @@
         return Queued()
 
     def has_request(self, request: RequestKey) -> bool:
-        """Whether a request has asked before, and is not asking for the first time."""
+        """Return whether a request waits here or was granted a token recently."""
         return request in self._waiting or request in self._granted
 
     def cancel(self, request: RequestKey) -> None:
-        """Take a request out that no longer waits."""
+        """Remove a request that no longer waits."""
         self._waiting.pop(request, None)
 
     def grant_waiting(self, now: float) -> list[RequestKey]:
-        """Return the requests that get a token now, in order."""
+        """Grant available tokens; return the granted requests in order of arrival."""
         self._expire(now)
         served = []
         for request in list(self._waiting):
@@ -208,31 +222,32 @@
         return True
 
     def _credit_returned(self, host, boot, returned):
-        """Let tokens that come back be granted again, but no others.
+        """Credit returned tokens to the guard, up to the number granted to the host.
 
-        A program that loops asks for turns that its budget no longer holds, and each
-        returns its token; without this its customer's other programs would starve.
+        A program in an endless loop requests turns that exceed its token budget, and
+        each refused turn returns its rate token. Without the credit, the other programs
+        of the customer would starve.
         """
-        lent = self._outstanding.get(host)
-        if lent is None or lent.boot != boot:
+        grants = self._outstanding.get(host)
+        if grants is None or grants.boot != boot:
             return
-        credit = min(returned, lent.tokens)
-        lent.tokens -= credit
+        credit = min(returned, grants.tokens)
+        grants.tokens -= credit
         level = self._guard.level + credit
         self._guard.level = min(self._guard.burst, level)
 
     def _grant(self, request, now):
         self._granted[request] = now
-        lent = self._outstanding.get(request.host)
-        if lent is None or lent.boot != request.boot:
-            lent = self._outstanding[request.host] = _HostGrants(request.boot)
-        lent.tokens += 1.0
+        grants = self._outstanding.get(request.host)
+        if grants is None or grants.boot != request.boot:
+            grants = self._outstanding[request.host] = _HostGrants(request.boot)
+        grants.tokens += 1.0
 
     def _add_tokens(self, tokens, now):
         self.level = min(self.level + tokens, self.capacity(now))
 
     def _seconds_until_tokens(self, tokens, now) -> float:
-        """Return when so many tokens have come in, if all is well."""
+        """Return the expected seconds until the pool holds this many tokens."""
         missing = max(0.0, tokens - self.level)
         rate = self._guard.rate / GUARD_RATE_FACTOR
         return missing / rate if rate > 0.0 else math.inf
--- a/packages/swifttide_core/src/swifttide_core/rates/_token_decision.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_token_decision.py
@@ -1,26 +1,26 @@
-"""What became of a request for a token."""
+"""Outcomes of a request for a token."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The request may go on."""
+    """The request got a token and may proceed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """It waits behind those that came before."""
+    """The request waits for a token behind earlier requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """There is no token for it.
+    """No token is available, and the request does not wait.
 
     Parameters
     ----------
     seconds : float
-        Until there is one, if those that wait now are served first.
+        Expected time until a token is available after all waiting requests were served.
     """
 
     seconds: float
--- a/packages/swifttide_core/src/swifttide_core/rates/_token_transfer.py
+++ b/packages/swifttide_core/src/swifttide_core/rates/_token_transfer.py
@@ -1,4 +1,4 @@
-"""Tokens on their way from a host's share to the customer's pool."""
+"""Transfer of tokens from a host's share to the customer's pool."""
 
 import math
 from dataclasses import astuple, dataclass, replace
@@ -6,19 +6,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenTransfer:
-    """What a host hands on.
+    """Tokens of one customer that a host transfers to the customer's pool.
 
     Parameters
     ----------
     tokens : float
-        They are no longer the sender's.
+        Tokens transferred; the sender has removed them from its own share.
     share : float
-        Part of the customer's burst that the pool may store for the sender.
+        Fraction of the customer's burst that the pool may store for the sender.
     used : float
-        Tokens that the sender took out of its share itself since it last handed on.
+        Tokens that the sender spent from its own share since its last transfer.
     returned : float
-        Of the tokens, those that the pool had granted to the sender's requests and
-        that were not used.
+        Part of `tokens` that the pool had granted to requests of the sender and that
+        was not spent.
     """
 
     tokens: float
@@ -27,11 +27,11 @@
     returned: float = 0.0
 
     def with_pool_tokens(self, tokens: float, returned: float) -> "TokenTransfer":
-        """Return it with more tokens, and with some that were granted before."""
+        """Return a copy that adds tokens of a drained pool and unspent granted ones."""
         return replace(self, tokens=self.tokens + tokens + returned, returned=returned)
 
     def clamped(self, burst: float) -> "TokenTransfer | None":
-        """Return it within its bounds; None for figures that aren't numbers."""
+        """Return a copy within valid bounds; None if a field is infinite or NaN."""
         if not all(map(math.isfinite, astuple(self))):
             return None
         return TokenTransfer(
