--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_gateway.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_gateway.py
@@ -34,8 +34,8 @@
 from swifttide_daemon.gateway.peers._peer_client import PeerClient
 from swifttide_daemon.gateway.peers._peer_server import PeerServer
 from swifttide_daemon.gateway.peers._peer_service import PeerService
-from swifttide_daemon.gateway.rates._rate_keeper import RateKeeper
-from swifttide_daemon.gateway.rates._share_keeper import MAX_HOLDERS, ShareKeeper
+from swifttide_daemon.gateway.rates._rate_limiter import RateLimiter
+from swifttide_daemon.gateway.rates._share_allocator import MAX_HOLDERS, ShareAllocator
 from swifttide_daemon.gateway.store._decoders import Decoders
 from swifttide_daemon.gateway.store._operator_feed import OperatorFeed
 from swifttide_daemon.gateway.store._passed_feed import PassedFeed
@@ -125,7 +125,7 @@
         self._peer_server = PeerServer(self._peer_service.answer, log)
         self._datagrams = Datagrams(self._fleet, log)
         self._isolation = Isolation(self._fleet, self._store, log)
-        self._rates = RateKeeper(
+        self._rates = RateLimiter(
             self._fleet,
             lambda: self._shares.holders(),
             self._datagrams.send,
@@ -141,7 +141,7 @@
             self._record_period,
             log,
         )
-        self._shares = ShareKeeper(
+        self._shares = ShareAllocator(
             self._store, self._fleet, self._rates, log, self._record.may_give_up
         )
         self._order = OrderKeeper(
@@ -152,7 +152,7 @@
             self._datagrams.send,
             log,
         )
-        self._datagrams.on_rate = self._rates.take_message
+        self._datagrams.on_rate = self._rates.handle_message
         self._datagrams.on_order = self._order.take_message
 
     def _follow_store(self):
@@ -333,7 +333,7 @@
         self._order.forget_target(target_id)
 
     def _take_config(self, cfg: RoutingConfig) -> None:
-        self._rates.follow(cfg.customers)
+        self._rates.update_customers(cfg.customers)
 
     def reload(self) -> None:
         """Take SIGHUP: the settings may have changed."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_status_pages.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_status_pages.py
@@ -10,8 +10,8 @@
 from swifttide_daemon.gateway.callers._program_entry import ProgramEntry
 from swifttide_daemon.gateway.peers._fleet import Fleet
 from swifttide_daemon.gateway.peers._isolation import Isolation
-from swifttide_daemon.gateway.rates._rate_keeper import RateKeeper
-from swifttide_daemon.gateway.rates._share_keeper import ShareKeeper
+from swifttide_daemon.gateway.rates._rate_limiter import RateLimiter
+from swifttide_daemon.gateway.rates._share_allocator import ShareAllocator
 from swifttide_daemon.gateway.store._relayed_store import RelayedStore
 
 SHARE_WAIT_SECONDS = 4.0
@@ -47,8 +47,8 @@
         fleet: Fleet,
         store: RelayedStore,
         isolation: Isolation,
-        rates: RateKeeper,
-        shares: ShareKeeper,
+        rates: RateLimiter,
+        shares: ShareAllocator,
         entry: ProgramEntry,
         lender: TokenLender,
         metrics: GatewayMetrics,
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
@@ -20,7 +20,7 @@
 from swifttide_daemon.gateway.callers._job import Job, Progress, age_of
 from swifttide_daemon.gateway.callers._program_entry import ProgramEntry
 from swifttide_daemon.gateway.callers._refusal import Refusal
-from swifttide_daemon.gateway.rates._rate_keeper import RateKeeper
+from swifttide_daemon.gateway.rates._rate_limiter import RateLimiter
 from swifttide_daemon.gateway.targets._strike_keeper import StrikeKeeper
 from swifttide_daemon.gateway.turns._turn_keeper import TurnKeeper
 
@@ -65,7 +65,7 @@
         beliefs: Beliefs,
         budgets: BudgetKeeper,
         turns: TurnKeeper,
-        rates: RateKeeper,
+        rates: RateLimiter,
         strikes: StrikeKeeper,
         entry: ProgramEntry,
     ):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_share_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_share_allocator.py
@@ -22,7 +22,7 @@
 
 from swifttide_core.budgets import plan_slots
 from swifttide_daemon.gateway.peers._fleet import TABLE, Fleet
-from swifttide_daemon.gateway.rates._rate_keeper import RateKeeper
+from swifttide_daemon.gateway.rates._rate_limiter import RateLimiter
 from swifttide_daemon.gateway.store._shared_store import (
     Applied,
     Condition,
@@ -38,28 +38,28 @@
 
 KEY = "shares"
 
-SETTLE_SECONDS = 0.5
+MEMBERSHIP_SETTLE_SECONDS = 0.5
 """A host that starts waits until no other one was new to it for so long: whoever knows
 nobody takes everything."""
 
-MAX_SETTLE_SECONDS = 2.0
+MAX_MEMBERSHIP_SETTLE_SECONDS = 2.0
 
 LEASE_MS = 60_000
 """An entry that isn't renewed for so long is free again. Long against outages of the
 store: whoever is cut off goes on with its share, and one share in ten or more that
 nobody uses is borne by the room that customers' rates have."""
 
-FORGET_MS = 7_200_000
+SLOT_RETENTION_MS = 7_200_000
 """Slots of a host that has vanished stay its own for so long after its lease: what it
 lent while the store was away may count as long."""
 
 RENEW_MS = 20_000
 """An entry is renewed when it is so old: two renewals may fail."""
 
-CHECK_SECONDS = 1.0
+CHECK_INTERVAL_SECONDS = 1.0
 """Between looks at the shares."""
 
-SPREAD_SECONDS = 0.03
+WRITE_SPREAD_SECONDS = 0.03
 """For each host that writes as a fleet starts: over so long, times their number, they
 write their first entries. A transaction takes 5 ms, and each one that comes between
 costs another try."""
@@ -72,7 +72,7 @@
 READ_RETRY_SECONDS = 0.2
 """Pause before the row is read again while the store is away."""
 
-TOLERANCE = 1e-6
+SHARE_TOLERANCE = 1e-6
 
 
 class _Entry(msgspec.Struct, array_like=True):
@@ -81,7 +81,7 @@
     slots: list[int] = []
 
 
-class ShareKeeper:
+class ShareAllocator:
     """Keeps this host's entry.
 
     Parameters
@@ -100,9 +100,9 @@
         self,
         store: SharedStore,
         fleet: Fleet,
-        rates: RateKeeper,
+        rates: RateLimiter,
         log: EventLog,
-        may_give_up: Callable[[], bool] = lambda: True,
+        may_release_slots: Callable[[], bool] = lambda: True,
     ):
         self._store = store
         self._fleet = fleet
@@ -113,8 +113,8 @@
         self._holders: tuple[str, ...] = ()
         self._version = 0
         self._clock_ahead_ms = 0
-        self._may_give_up = may_give_up
-        self._giving_up: frozenset[int] = frozenset()
+        self._may_release_slots = may_release_slots
+        self._released_slots: frozenset[int] = frozenset()
 
     @property
     def slots(self) -> frozenset[int]:
@@ -122,7 +122,7 @@
         own = self._entries.get(self._ip)
         if own is None or self._now_ms - own.renewed_ms >= LEASE_MS:
             return frozenset()
-        return frozenset(own.slots) - self._giving_up
+        return frozenset(own.slots) - self._released_slots
 
     def holders(self) -> tuple[str, ...]:
         """Return the addresses of the hosts that hold a share of the rates."""
@@ -133,17 +133,17 @@
         owners = (ip for ip, entry in self._entries.items() if slot in entry.slots)
         return next(owners, None)
 
-    def take_row(self, row: StoredRow) -> None:
+    def apply_row(self, row: StoredRow) -> None:
         """Take the row of shares."""
         if row.version < self._version:
             return
-        self._take(_decode(row.value), row.version)
-        self._note_given_up()
+        self._apply_entries(_decode(row.value), row.version)
+        self._clear_released_slots()
         own = self._entries.get(self._ip)
         if own is not None and not self._rates.share:
-            self._use(own.share)
+            self._set_share(own.share)
 
-    def _take(self, entries, version):
+    def _apply_entries(self, entries, version):
         self._entries, self._version = entries, version
         holders = (ip for ip, entry in entries.items() if entry.share > 0.0)
         self._holders = tuple(sorted(holders))
@@ -153,27 +153,27 @@
         await self._read()
         # All hosts of a fleet start together: spread out, they conflict less.
         if self._ip not in self._entries:
-            await self._settle()
-            await self._pause()
+            await self._wait_for_membership()
+            await self._pause_randomly()
         while True:
             for _ in range(4):
-                if await self._adjust():
+                if await self._update_entry():
                     break
-                await self._pause()
-            await asyncio.sleep(CHECK_SECONDS * random.uniform(0.8, 1.2))
+                await self._pause_randomly()
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
 
-    async def _settle(self):
+    async def _wait_for_membership(self):
         """Wait until the other hosts of a fleet that starts are known."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + MAX_SETTLE_SECONDS
+        until = loop.time() + MAX_MEMBERSHIP_SETTLE_SECONDS
         known = -1
         while len(self._fleet.all()) != known and loop.time() < until:
             known = len(self._fleet.all())
-            await asyncio.sleep(SETTLE_SECONDS)
+            await asyncio.sleep(MEMBERSHIP_SETTLE_SECONDS)
 
-    async def _pause(self):
+    async def _pause_randomly(self):
         n_writers = min(MAX_HOLDERS, len(self._fleet.all())) + 1
-        spread = SPREAD_SECONDS * n_writers
+        spread = WRITE_SPREAD_SECONDS * n_writers
         await asyncio.sleep(random.uniform(0.0, spread))
 
     async def _read(self):
@@ -182,7 +182,7 @@
                 case Rows(rows, _, now_ms):
                     self._set_clock(now_ms)
                     for row in rows:
-                        self.take_row(row)
+                        self.apply_row(row)
                     return
             await asyncio.sleep(READ_RETRY_SECONDS)
 
@@ -197,16 +197,16 @@
 
     async def give_up(self) -> None:
         """Remove the entry of a host that leaves."""
-        self._use(0.0)
+        self._set_share(0.0)
         entries = dict(self._entries)
         if entries.pop(self._ip, None) is not None:
             await self._write(entries)
 
-    async def _adjust(self) -> bool:
+    async def _update_entry(self) -> bool:
         """Change or renew the own entry if need be; return whether all is done."""
-        entries = self._current()
+        entries = self._retained_entries()
         own = entries.get(self._ip)
-        present = self._present(entries)
+        present = self._live_entries(entries)
         others = sum(e.share for ip, e in entries.items() if ip != self._ip)
         # Hosts of a fleet that starts are heard before they have entries.
         n_heard = len(self._fleet.alive()) + 1
@@ -219,24 +219,24 @@
         has_some = own is not None and (own.share > 0.0 or own.slots)
         if not (may_hold or has_some):
             # Others may have taken what lapsed while this host was cut off.
-            self._use(0.0)
+            self._set_share(0.0)
             return True
         slots = self._plan_slots(entries, own, min(n_hosts, MAX_HOLDERS))
         if own is not None:
-            if own.share > fair and not self._is_any_short(present, fair):
+            if own.share > fair and not self._is_any_below_fair_share(present, fair):
                 wanted = own.share
             due = self._now_ms - own.renewed_ms >= RENEW_MS
             same_slots = slots == frozenset(own.slots)
-            if not due and same_slots and abs(wanted - own.share) <= TOLERANCE:
+            if not due and same_slots and abs(wanted - own.share) <= SHARE_TOLERANCE:
                 return True
             # No longer used from here on, whatever becomes of the write.
-            self._giving_up |= frozenset(own.slots) - slots
+            self._released_slots |= frozenset(own.slots) - slots
         if wanted < self._rates.share:
-            self._use(wanted)
+            self._set_share(wanted)
         entries[self._ip] = _Entry(wanted, self._now_ms, sorted(slots))
         if not await self._write(entries):
             return False
-        self._use(wanted)
+        self._set_share(wanted)
         return True
 
     def _may_hold(self, present) -> bool:
@@ -256,25 +256,25 @@
         others = (p.ip for p in self._fleet.in_own_zone() if p.ip not in holders)
         return self._ip in itertools.islice(others, max(0, n_free))
 
-    def _is_any_short(self, present, fair) -> bool:
+    def _is_any_below_fair_share(self, present, fair) -> bool:
         """Whether a host that may hold a share has less than a fair one."""
         shares = [e.share for e in present.values()]
-        n_fair = sum(share >= fair - TOLERANCE for share in shares)
+        n_fair = sum(share >= fair - SHARE_TOLERANCE for share in shares)
         return n_fair < min(len(shares), MAX_HOLDERS)
 
     def _plan_slots(self, entries, own, n_hosts) -> frozenset[int]:
         others = [frozenset(e.slots) for ip, e in entries.items() if ip != self._ip]
         held = frozenset(own.slots if own else ())
-        return plan_slots(held, others, n_hosts, self._may_give_up())
+        return plan_slots(held, others, n_hosts, self._may_release_slots())
 
-    def _present(self, entries):
+    def _live_entries(self, entries):
         """Return the entries of hosts that are there."""
-        return {ip: entry for ip, entry in entries.items() if self._holds(ip, entry)}
+        return {ip: entry for ip, entry in entries.items() if self._is_live(ip, entry)}
 
-    def _holds(self, ip, entry) -> bool:
+    def _is_live(self, ip, entry) -> bool:
         return ip == self._ip or self._now_ms - entry.renewed_ms < LEASE_MS
 
-    def _current(self):
+    def _retained_entries(self):
         """Return the entries that hold, by the store's clock.
 
         Of hosts that have vanished only the slots remain, without an owner that uses
@@ -283,9 +283,9 @@
         found = {}
         for ip, entry in self._entries.items():
             age = self._now_ms - entry.renewed_ms
-            if self._holds(ip, entry):
+            if self._is_live(ip, entry):
                 found[ip] = entry
-            elif entry.slots and age < LEASE_MS + FORGET_MS:
+            elif entry.slots and age < LEASE_MS + SLOT_RETENTION_MS:
                 found[ip] = _Entry(0.0, entry.renewed_ms, entry.slots)
         return found
 
@@ -297,21 +297,21 @@
         )
         match await self._store.commit(tx):
             case Applied(version, now_ms):
-                self._take(entries, version)
+                self._apply_entries(entries, version)
                 self._set_clock(now_ms)
-                self._note_given_up()
+                self._clear_released_slots()
                 return True
             case Conflict(rows):
                 for row in rows:
-                    self.take_row(row)
+                    self.apply_row(row)
         return False
 
-    def _note_given_up(self):
+    def _clear_released_slots(self):
         """Forget slots that the row no longer has as ours: they may come back."""
         own = self._entries.get(self._ip)
-        self._giving_up &= frozenset(own.slots if own else ())
+        self._released_slots &= frozenset(own.slots if own else ())
 
-    def _use(self, share):
+    def _set_share(self, share):
         if share != self._rates.share:
             self._log.info("rate_share", share=round(share, 4), version=self._version)
             self._rates.share = share
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_row_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_row_feed.py
@@ -2,8 +2,8 @@
 
 from swifttide_daemon.gateway._beliefs import Beliefs
 from swifttide_daemon.gateway.peers._fleet import HOST_PREFIX, Fleet
-from swifttide_daemon.gateway.rates._share_keeper import KEY as SHARES_KEY
-from swifttide_daemon.gateway.rates._share_keeper import ShareKeeper
+from swifttide_daemon.gateway.rates._share_allocator import KEY as SHARES_KEY
+from swifttide_daemon.gateway.rates._share_allocator import ShareAllocator
 from swifttide_daemon.gateway.store._decoders import Decoders
 from swifttide_daemon.gateway.store._shared_store import StoredRow
 from swifttide_daemon.gateway.targets._strike_keeper import StrikeKeeper
@@ -31,7 +31,7 @@
         beliefs: Beliefs,
         strikes: StrikeKeeper,
         fleet: Fleet,
-        shares: ShareKeeper,
+        shares: ShareAllocator,
         log: EventLog,
     ):
         self._decoders = decoders
@@ -86,7 +86,7 @@
             if row.key.key.startswith(HOST_PREFIX):
                 self._fleet.take_row(row)
             elif row.key.key == SHARES_KEY:
-                self._shares.take_row(row)
+                self._shares.apply_row(row)
         return max((row.version for row in rows), default=0)
 
     def _decode_target(self, row):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_lending_fleet.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_lending_fleet.py
@@ -10,7 +10,7 @@
 from swifttide_daemon.gateway.callers._refusal import Refusal
 from swifttide_daemon.gateway.peers._fleet import Fleet as HeardHosts
 from swifttide_daemon.gateway.peers._peer import Peer
-from swifttide_daemon.gateway.rates._share_keeper import KEY, ShareKeeper
+from swifttide_daemon.gateway.rates._share_allocator import KEY, ShareAllocator
 from swifttide_daemon.gateway.store._row_reaper import RowReaper
 from swifttide_daemon.gateway.store._shared_store import RowKey, StoredRow, Unavailable
 from swifttide_daemon.gateway.tests._hosts import Calls, peer_service
@@ -67,7 +67,7 @@
             log,
         )
         own = HeardHosts(Peer(ip, 1, "zone-a", ip + "-boot"), log)
-        self.shares = ShareKeeper(
+        self.shares = ShareAllocator(
             self.store, own, Rates(), log, self.record.may_give_up
         )
         self.peers, self.view = peer_service(
@@ -116,7 +116,7 @@
                 rows = self.fleet.store.rows.range("fleet", "", KEY, KEY + "\0")
                 for place, row in rows:
                     row = StoredRow(RowKey(*place), row.value, row.version)
-                    self.shares.take_row(row)
+                    self.shares.apply_row(row)
             await asyncio.sleep(0.1)
 
     def reached(self):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_rate_hosts.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_rate_hosts.py
@@ -7,7 +7,7 @@
 from swifttide_daemon.gateway.callers._refusal import Refusal
 from swifttide_daemon.gateway.peers._fleet import Fleet
 from swifttide_daemon.gateway.peers._peer import Peer
-from swifttide_daemon.gateway.rates._rate_keeper import RateKeeper
+from swifttide_daemon.gateway.rates._rate_limiter import RateLimiter
 
 TERMS = CustomerTerms("c", rate_per_second=15.0, burst=15.0)
 WINDOW = 5.0
@@ -64,10 +64,12 @@
             if peer.ip != own.ip:
                 fleet.heard(peer, True)
         fleet.is_heard = lambda ip: not {own.ip, ip} & self.away
-        keeper = RateKeeper(fleet, self.holders, self.sender(own), self.log, self.extra)
+        keeper = RateLimiter(
+            fleet, self.holders, self.sender(own), self.log, self.extra
+        )
         holds = own.ip in self.holders()
         keeper.share = 1.0 / len(self.holders()) if holds else 0.0
-        keeper.follow(self.customers)
+        keeper.update_customers(self.customers)
         self.keepers[own.ip] = keeper
         self.tasks[own.ip] = asyncio.create_task(keeper.run())
 
@@ -97,7 +99,7 @@
 
     def deliver(self, sender, ip, message):
         if ip not in self.away:
-            self.keepers[ip].take_message(message, sender)
+            self.keepers[ip].handle_message(message, sender)
 
     async def request(self, number, terms=TERMS, wait=0.0):
         """Ask to be let in at a host; return whether it was."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_program_rates.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_program_rates.py
@@ -151,7 +151,7 @@
                 await keeper.take("r", terms, 1.5, "p")
             await asyncio.sleep(2.0)
             await keeper.take("r", terms, 1.5, "q", True)
-            return keeper._shares._sizes.get("")
+            return keeper._pools._sizes.get("")
 
         sizes = run_paused(main())
         assert sizes.n_programs == 1
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_rate_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_rate_limiter.py
@@ -144,9 +144,9 @@
                     tokens = hosts.rng.choice((1.0, 1e9, float("nan"), -5.0))
                     number = hosts.rng.randrange(10**6)
                     handed = HandRate("forged", number, {"c": (tokens, 1e9, -1e9, 1e9)})
-                    keeper.take_message(handed, "h0")
+                    keeper.handle_message(handed, "h0")
                     answer = RateAnswer("c", keeper._own.boot, i % 40, True)
-                    keeper.take_message(answer, "h0")
+                    keeper.handle_message(answer, "h0")
                 tasks.append(asyncio.create_task(hosts.request(i, TERMS, 0.0)))
                 await asyncio.sleep(0.01)
             await asyncio.gather(*tasks)
@@ -162,16 +162,16 @@
             await asyncio.sleep(2.0)
             keeper = hosts.keepers["h1"]
             pools = [
-                k._shares.customer(TERMS).pool.level for k in hosts.keepers.values()
+                k._pools.get_customer(TERMS).pool.level for k in hosts.keepers.values()
             ]
-            keeper.take_message(
+            keeper.handle_message(
                 HandRate("b", 1, {"c": (5.0, 1.0, 0.0, 5.0)}), "stranger"
             )
-            keeper.take_message(
+            keeper.handle_message(
                 HandRate("b", 2, {"unknown": (5.0, 1.0, 0.0, 5.0)}), "h0"
             )
             after = [
-                k._shares.customer(TERMS).pool.level for k in hosts.keepers.values()
+                k._pools.get_customer(TERMS).pool.level for k in hosts.keepers.values()
             ]
             return pools, after
 
@@ -189,7 +189,7 @@
             hosts = Hosts(log, 10)
             await asyncio.sleep(4.0)
             asking = hosts.keepers["h0"]
-            lost = asking._shares.keepers("c")[0]
+            lost = asking._pools.owners("c")[0]
             number = int(lost.removeprefix("h"))
             other = (number + 1) % 10
             if how == "killed":
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_share_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_share_allocator.py
@@ -8,7 +8,11 @@
 
 from swifttide_daemon.gateway.peers._fleet import Fleet
 from swifttide_daemon.gateway.peers._peer import Peer
-from swifttide_daemon.gateway.rates._share_keeper import KEY, MAX_HOLDERS, ShareKeeper
+from swifttide_daemon.gateway.rates._share_allocator import (
+    KEY,
+    MAX_HOLDERS,
+    ShareAllocator,
+)
 from swifttide_daemon.gateway.store._shared_store import RowKey, StoredRow, Unavailable
 from swifttide_standins.paused_clock import run_paused
 
@@ -34,7 +38,7 @@
         fleet = Fleet(peer(ip), self.log)
         fleet.all = lambda: [peer(other) for other in self.rates if other != ip]
         fleet.alive = fleet.all
-        keeper = ShareKeeper(self.store, fleet, rates, self.log)
+        keeper = ShareAllocator(self.store, fleet, rates, self.log)
         self.tasks[ip] = (
             asyncio.create_task(keeper.run()),
             asyncio.create_task(self.follow(keeper)),
@@ -49,7 +53,7 @@
         """Hand the row over as a watch does."""
         while True:
             for place, row in self.store.rows.range("fleet", "", KEY, KEY + "\0"):
-                keeper.take_row(StoredRow(RowKey(*place), row.value, row.version))
+                keeper.apply_row(StoredRow(RowKey(*place), row.value, row.version))
             await asyncio.sleep(0.1)
 
     async def run(self, seconds):
@@ -121,7 +125,7 @@
 
     def test_host_whose_share_lapsed_stops_using_it(self, store, log, monkeypatch):
         """Guards against a share that two hosts use after one was cut off for long."""
-        monkeypatch.setattr(ShareKeeper, "_plan_slots", lambda *_: frozenset())
+        monkeypatch.setattr(ShareAllocator, "_plan_slots", lambda *_: frozenset())
 
         async def main():
             hosts = Hosts(store, log)
@@ -222,7 +226,7 @@
         """
 
         async def main():
-            keeper = ShareKeeper(store, Fleet(peer("h0"), log), Rates(), log)
+            keeper = ShareAllocator(store, Fleet(peer("h0"), log), Rates(), log)
             task = asyncio.create_task(keeper.run())
             await asyncio.sleep(1.0)
             before = keeper.slots
@@ -232,7 +236,7 @@
             entries["h1"] = [0.0, store.now_ms, []]
             store.rows.put("fleet", KEY, json.dumps(entries).encode())
             place, row = store.rows.range("fleet", "", KEY, KEY + "\0")[0]
-            keeper.take_row(StoredRow(RowKey(*place), row.value, row.version))
+            keeper.apply_row(StoredRow(RowKey(*place), row.value, row.version))
             await asyncio.sleep(2.0)
             task.cancel()
             return before, keeper.slots
