--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_rate_hosts.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_rate_hosts.py
@@ -10,10 +10,10 @@
 from swifttide_daemon.gateway.rates._rate_limiter import RateLimiter
 
 TERMS = CustomerTerms("c", rate_per_second=15.0, burst=15.0)
-WINDOW = 5.0
+WINDOW_SECONDS = 5.0
 """Seconds in which a customer's requests are counted."""
 
-EXTRA = 20.0
+EXTRA_REQUESTS = 20.0
 """Requests by which the rule lets a customer exceed its limits in a window."""
 
 MAX_HOLDERS = 12
@@ -39,7 +39,7 @@
         n_hosts,
         customers=(TERMS,),
         loss=0.0,
-        doubled=0.0,
+        duplication=0.0,
         seed=0,
         extra=0.0,
     ):
@@ -47,13 +47,13 @@
         self.rng = random.Random(seed)
         self.log = log
         self.loss = loss
-        self.doubled = doubled
+        self.duplication = duplication
         self.customers = customers
         self.admitted = {t.name: [] for t in customers}
         self.peers = [Peer(f"h{i}", 1, f"z{i % 3}", f"b{i}") for i in range(n_hosts)]
-        self.away = set()
+        self.unreachable = set()
         """Hosts that are cut off, frozen or dead."""
-        self.keepers = {}
+        self.limiters = {}
         self.tasks = {}
         for own in self.peers:
             self.start(own)
@@ -63,15 +63,15 @@
         for peer in self.peers:
             if peer.ip != own.ip:
                 fleet.heard(peer, True)
-        fleet.is_heard = lambda ip: not {own.ip, ip} & self.away
-        keeper = RateLimiter(
+        fleet.is_heard = lambda ip: not {own.ip, ip} & self.unreachable
+        limiter = RateLimiter(
             fleet, self.holders, self.sender(own), self.log, self.extra
         )
         holds = own.ip in self.holders()
-        keeper.share = 1.0 / len(self.holders()) if holds else 0.0
-        keeper.update_customers(self.customers)
-        self.keepers[own.ip] = keeper
-        self.tasks[own.ip] = asyncio.create_task(keeper.run())
+        limiter.share = 1.0 / len(self.holders()) if holds else 0.0
+        limiter.update_customers(self.customers)
+        self.limiters[own.ip] = limiter
+        self.tasks[own.ip] = asyncio.create_task(limiter.run())
 
     def restart(self, number):
         """Kill a host and start its next process."""
@@ -88,41 +88,42 @@
         """Return a function that sends a message to a host."""
 
         def send(ip, message):
-            if {own.ip, ip} & self.away or self.rng.random() < self.loss:
+            if {own.ip, ip} & self.unreachable or self.rng.random() < self.loss:
                 return
             loop = asyncio.get_running_loop()
-            for _ in range(1 + (self.rng.random() < self.doubled)):
+            for _ in range(1 + (self.rng.random() < self.duplication)):
                 delay = self.rng.uniform(0.0002, 0.003)
                 loop.call_later(delay, self.deliver, own.ip, ip, message)
 
         return send
 
     def deliver(self, sender, ip, message):
-        if ip not in self.away:
-            self.keepers[ip].handle_message(message, sender)
+        if ip not in self.unreachable:
+            self.limiters[ip].handle_message(message, sender)
 
     async def request(self, number, terms=TERMS, wait=0.0):
         """Ask to be let in at a host; return whether it was."""
-        keeper = self.keepers[self.peers[number % len(self.peers)].ip]
+        limiter = self.limiters[self.peers[number % len(self.peers)].ip]
         try:
-            await keeper.take("r", terms, wait)
+            await limiter.take("r", terms, wait)
         except Refusal:
             return False
         self.admitted[terms.name].append(asyncio.get_running_loop().time())
         return True
 
-    def most_in_window(self, terms=TERMS):
+    def max_admitted_in_window(self, terms=TERMS):
         """Return the most requests let in within any window."""
         times = sorted(self.admitted[terms.name])
         return max(
-            (sum(1 for t in times if s <= t < s + WINDOW) for s in times), default=0
+            (sum(1 for t in times if s <= t < s + WINDOW_SECONDS) for s in times),
+            default=0,
         )
 
 
-def allowed(terms):
+def max_allowed_in_window(terms):
     """Return what the rule lets a customer have in a window."""
-    owed = terms.rate_per_second * WINDOW + terms.burst
-    return owed * 1.1 + EXTRA
+    owed = terms.rate_per_second * WINDOW_SECONDS + terms.burst
+    return owed * 1.1 + EXTRA_REQUESTS
 
 
 class CentralBucket:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_program_rates.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_program_rates.py
@@ -7,17 +7,17 @@
 from swifttide_core.forwarding import CustomerTerms
 from swifttide_daemon.gateway.callers._refusal import Refusal
 from swifttide_daemon.gateway.tests._rate_hosts import (
-    EXTRA,
+    EXTRA_REQUESTS,
     Hosts,
-    allowed,
+    max_allowed_in_window,
 )
 from swifttide_standins.paused_clock import run_paused
 
-STAGES = (1, 3, 3, 3, 3, 3)
+REQUESTS_PER_STAGE = (1, 3, 3, 3, 3, 3)
 """Requests that a program makes at once, one stage after the other."""
 
 STAGE_SECONDS = 0.25
-AIM_SECONDS = 1.6 * STAGE_SECONDS * len(STAGES)
+DEADLINE_SECONDS = 1.6 * STAGE_SECONDS * len(REQUESTS_PER_STAGE)
 
 
 class Programs:
@@ -26,8 +26,8 @@
     def __init__(self, hosts, terms):
         self.hosts = hosts
         self.terms = terms
-        self.in_time = 0
-        self.begun = 0
+        self.n_in_time = 0
+        self.n_started = 0
 
     async def run(self, name):
         """Run a program; its first request comes again twice if it is refused."""
@@ -41,27 +41,27 @@
             await asyncio.sleep(seconds)
         else:
             return
-        self.begun += 1
-        for width in STAGES[1:]:
+        self.n_started += 1
+        for width in REQUESTS_PER_STAGE[1:]:
             await asyncio.sleep(STAGE_SECONDS)
             calls = [self.request(number, name, False) for _ in range(width)]
             if any(s is not None for s in await asyncio.gather(*calls)):
                 return
         await asyncio.sleep(STAGE_SECONDS)
-        self.in_time += loop.time() - began <= AIM_SECONDS
+        self.n_in_time += loop.time() - began <= DEADLINE_SECONDS
 
     async def request(self, number, name, may_be_new):
         """Return None if the request was let in, or when to come back."""
-        keeper = self.hosts.keepers[self.hosts.peers[number % 9].ip]
+        limiter = self.hosts.limiters[self.hosts.peers[number % 9].ip]
         try:
-            await keeper.take("r", self.terms, 1.5, name, may_be_new)
+            await limiter.take("r", self.terms, 1.5, name, may_be_new)
         except Refusal as refusal:
             return refusal.retry_after
         return None
 
 
-class TestReturned:
-    def test_program_that_loops_starves_no_other(self, log):
+class TestReturnedTokens:
+    def test_program_in_a_loop_does_not_starve_others(self, log):
         """A program has used its token budget up and asks for turns all the same, at
         many hosts; each is refused and returns its token. The customer's other
         programs must find those tokens.
@@ -73,24 +73,24 @@
             await asyncio.sleep(4.0)
             served = 0
             for i in range(400):
-                keeper = hosts.keepers[f"h{i % 24}"]
+                limiter = hosts.limiters[f"h{i % 24}"]
                 try:
-                    await keeper.take("loop", terms, 0.0)
-                    keeper.refund(terms)
+                    await limiter.take("loop", terms, 0.0)
+                    limiter.refund(terms)
                 except Refusal:
                     pass
                 if i % 8 == 0:
                     served += await hosts.request(i // 8, terms, 0.5)
                 await asyncio.sleep(0.025)
-            return served, hosts.most_in_window(terms)
+            return served, hosts.max_admitted_in_window(terms)
 
         served, most = run_paused(main())
         assert served >= 48
-        assert most <= allowed(terms)
+        assert most <= max_allowed_in_window(terms)
 
 
 class TestPrograms:
-    def test_programs_let_in_end_in_time(self, log):
+    def test_admitted_programs_end_in_time(self, log):
         """A customer begins twice as many programs as its rate can carry.
 
         Let in as they come, they take each other's tokens, and the customer's rate is
@@ -108,24 +108,24 @@
                 tasks.append(asyncio.create_task(programs.run(f"p{i}")))
                 await asyncio.sleep(hosts.rng.expovariate(1.0))
             await asyncio.gather(*tasks)
-            return programs.in_time
+            return programs.n_in_time
 
         assert sum(run_paused(main(seed)) for seed in range(6)) >= 80
 
-    def test_program_of_more_requests_than_its_rate_brings_in_time(self, log):
+    def test_program_that_needs_more_than_the_rate_ends_in_time(self, log):
         """Guards against long programs of small customers that all end late."""
         terms = CustomerTerms("c", (), None, 8.0, 8.0)
         n_stages, width, stage_seconds = 11, 3, 0.13
 
         async def main():
-            hosts = Hosts(log, 9, (terms,), extra=EXTRA)
+            hosts = Hosts(log, 9, (terms,), extra=EXTRA_REQUESTS)
             loop, seconds = asyncio.get_running_loop(), []
             for i in range(3):
                 await asyncio.sleep(6.0)
-                began, keeper = loop.time(), hosts.keepers[f"h{i}"]
+                began, limiter = loop.time(), hosts.limiters[f"h{i}"]
                 for stage in range(n_stages):
                     calls = [
-                        keeper.take("r", terms, 1.5, f"p{i}", stage == 0, "check")
+                        limiter.take("r", terms, 1.5, f"p{i}", stage == 0, "check")
                         for _ in range(width)
                     ]
                     await asyncio.gather(*calls)
@@ -136,7 +136,7 @@
         aim = 1.3 * n_stages * stage_seconds + 0.2
         assert max(run_paused(main())) <= aim
 
-    def test_request_that_asks_again_counts_once(self, log):
+    def test_repeated_query_is_counted_once(self, log):
         """A request of a program waits for its token and asks again meanwhile. Counted
         each time, programs that had to wait would seem larger than they are, and fewer
         be let in beside them.
@@ -146,18 +146,18 @@
         async def main():
             hosts = Hosts(log, 1, (terms,))
             await asyncio.sleep(4.0)
-            keeper = hosts.keepers["h0"]
+            limiter = hosts.limiters["h0"]
             for _ in range(2):
-                await keeper.take("r", terms, 1.5, "p")
+                await limiter.take("r", terms, 1.5, "p")
             await asyncio.sleep(2.0)
-            await keeper.take("r", terms, 1.5, "q", True)
-            return keeper._pools._sizes.get("")
+            await limiter.take("r", terms, 1.5, "q", True)
+            return limiter._pools._sizes.get("")
 
         sizes = run_paused(main())
         assert sizes.n_programs == 1
         assert sizes.calls == pytest.approx(6.0 + (2 - 6.0) / 3)
 
-    def test_customer_within_its_rate_begins_all_programs(self, log):
+    def test_customer_within_its_rate_starts_all_programs(self, log):
         """Programs of a customer that stays within its rate are all let in at once."""
         terms = CustomerTerms("c", (), None, 60.0, 60.0)
 
@@ -170,6 +170,6 @@
                 tasks.append(asyncio.create_task(programs.run(f"p{i}")))
                 await asyncio.sleep(hosts.rng.expovariate(2.2))
             await asyncio.gather(*tasks)
-            return programs.in_time
+            return programs.n_in_time
 
         assert run_paused(main()) >= 59
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_rate_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_rate_limiter.py
@@ -7,18 +7,18 @@
 from swifttide_core.forwarding import CustomerTerms
 from swifttide_daemon.gateway.rates._rate_messages import HandRate, RateAnswer
 from swifttide_daemon.gateway.tests._rate_hosts import (
-    EXTRA,
+    EXTRA_REQUESTS,
     TERMS,
     CentralBucket,
     Hosts,
-    allowed,
+    max_allowed_in_window,
 )
 from swifttide_standins.paused_clock import run_paused
 
 
 class TestRates:
     @pytest.mark.parametrize("n_hosts", [9, 69, 300])
-    def test_calm_day_refuses_next_to_nothing(self, log, n_hosts):
+    def test_customers_within_their_rates_are_rarely_refused(self, log, n_hosts):
         """Customers of 1 to 100 requests a second send five eighths of their rates,
         each request to any host. With equal shares no host has a whole token of a
         small customer, and its programs fail at their first call or later ones.
@@ -56,7 +56,7 @@
         served, n_due = run_paused(main())
         assert served >= n_due * 0.999
 
-    def test_customer_gets_its_rate_through_one_host(self, log):
+    def test_customer_gets_its_whole_rate_through_one_host(self, log):
         """All callers of a customer arrive at one host of ten.
 
         Its own share is a tenth; the rest comes from hosts that don't need theirs.
@@ -73,9 +73,9 @@
 
         assert run_paused(main()) >= 115
 
-    @pytest.mark.parametrize("extra", [0.0, EXTRA])
+    @pytest.mark.parametrize("extra", [0.0, EXTRA_REQUESTS])
     @pytest.mark.parametrize("seed", range(8))
-    def test_never_more_than_the_rate(self, log, seed, extra):
+    def test_rate_is_not_exceeded_under_overload(self, log, seed, extra):
         """A customer sends many times its rate at all hosts, and messages get lost."""
 
         async def main():
@@ -88,13 +88,13 @@
                 tasks.append(asyncio.create_task(hosts.request(number, TERMS, wait)))
                 await asyncio.sleep(0.01)
             await asyncio.gather(*tasks)
-            return hosts.most_in_window()
+            return hosts.max_admitted_in_window()
 
-        assert run_paused(main()) <= allowed(TERMS)
+        assert run_paused(main()) <= max_allowed_in_window(TERMS)
 
-    @pytest.mark.parametrize("extra", [0.0, EXTRA])
+    @pytest.mark.parametrize("extra", [0.0, EXTRA_REQUESTS])
     @pytest.mark.parametrize("seed", range(12))
-    def test_never_more_than_the_rate_as_hosts_fail(self, log, seed, extra):
+    def test_rate_is_not_exceeded_when_hosts_fail(self, log, seed, extra):
         """Hosts are killed, frozen and cut off, each on its own or many at a time,
         and messages are lost and doubled, while a customer sends far beyond its rate.
         A host that wakes believes at first that it still keeps the tokens.
@@ -108,7 +108,7 @@
             tasks = []
             for i in range(3000):
                 if i % 50 == 0:
-                    hosts.away.clear()
+                    hosts.unreachable.clear()
                     fate = hosts.rng.random()
                     n_hit = hosts.rng.choice((1, 2, 8, 24))
                     hit = hosts.rng.sample(range(n_hosts), n_hit)
@@ -116,19 +116,19 @@
                         for number in hit:
                             hosts.restart(number)
                     elif fate < 0.8:
-                        hosts.away |= {hosts.peers[n].ip for n in hit}
+                        hosts.unreachable |= {hosts.peers[n].ip for n in hit}
                 wait = 1.0 if i % 3 else 0.0
                 number = hosts.rng.randrange(n_hosts)
                 tasks.append(asyncio.create_task(hosts.request(number, terms, wait)))
                 await asyncio.sleep(0.01)
             await asyncio.gather(*tasks)
-            return hosts.most_in_window(terms)
+            return hosts.max_admitted_in_window(terms)
 
-        assert run_paused(main()) <= allowed(terms)
+        assert run_paused(main()) <= max_allowed_in_window(terms)
 
-    @pytest.mark.parametrize("extra", [0.0, EXTRA])
+    @pytest.mark.parametrize("extra", [0.0, EXTRA_REQUESTS])
     @pytest.mark.parametrize("seed", range(4))
-    def test_forged_messages_lift_no_rate(self, log, seed, extra):
+    def test_forged_messages_do_not_raise_the_rate(self, log, seed, extra):
         """A host's address sends tokens that nobody took out of a share, claims the
         whole burst, answers questions that nobody asked, and repeats itself.
         """
@@ -138,40 +138,40 @@
             await asyncio.sleep(2.0)
             tasks = []
             for i in range(1200):
-                for ip, keeper in hosts.keepers.items():
+                for ip, limiter in hosts.limiters.items():
                     if ip == "h0":
                         continue
                     tokens = hosts.rng.choice((1.0, 1e9, float("nan"), -5.0))
                     number = hosts.rng.randrange(10**6)
                     handed = HandRate("forged", number, {"c": (tokens, 1e9, -1e9, 1e9)})
-                    keeper.handle_message(handed, "h0")
-                    answer = RateAnswer("c", keeper._own.boot, i % 40, True)
-                    keeper.handle_message(answer, "h0")
+                    limiter.handle_message(handed, "h0")
+                    answer = RateAnswer("c", limiter._own.boot, i % 40, True)
+                    limiter.handle_message(answer, "h0")
                 tasks.append(asyncio.create_task(hosts.request(i, TERMS, 0.0)))
                 await asyncio.sleep(0.01)
             await asyncio.gather(*tasks)
-            return hosts.most_in_window()
+            return hosts.max_admitted_in_window()
 
-        assert run_paused(main()) <= allowed(TERMS)
+        assert run_paused(main()) <= max_allowed_in_window(TERMS)
 
-    def test_strangers_are_not_answered(self, log):
+    def test_messages_of_unknown_hosts_are_ignored(self, log):
         """Whoever isn't a host of the fleet sends tokens and takes part in nothing."""
 
         async def main():
             hosts = Hosts(log, 2)
             await asyncio.sleep(2.0)
-            keeper = hosts.keepers["h1"]
+            limiter = hosts.limiters["h1"]
             pools = [
-                k._pools.get_customer(TERMS).pool.level for k in hosts.keepers.values()
+                k._pools.get_customer(TERMS).pool.level for k in hosts.limiters.values()
             ]
-            keeper.handle_message(
+            limiter.handle_message(
                 HandRate("b", 1, {"c": (5.0, 1.0, 0.0, 5.0)}), "stranger"
             )
-            keeper.handle_message(
+            limiter.handle_message(
                 HandRate("b", 2, {"unknown": (5.0, 1.0, 0.0, 5.0)}), "h0"
             )
             after = [
-                k._pools.get_customer(TERMS).pool.level for k in hosts.keepers.values()
+                k._pools.get_customer(TERMS).pool.level for k in hosts.limiters.values()
             ]
             return pools, after
 
@@ -179,22 +179,22 @@
         assert pools == after
 
     @pytest.mark.parametrize("how", ["killed", "cut off"])
-    def test_pause_when_the_keeper_is_lost(self, log, how):
+    def test_request_is_served_soon_after_the_owner_is_lost(self, log, how):
         """The host that keeps a customer's tokens dies, or is cut off from all others.
 
-        Programs under way wait for the next keeper, which fills as tokens come in.
+        Programs under way wait for the next limiter, which fills as tokens come in.
         """
 
         async def main():
             hosts = Hosts(log, 10)
             await asyncio.sleep(4.0)
-            asking = hosts.keepers["h0"]
+            asking = hosts.limiters["h0"]
             lost = asking._pools.owners("c")[0]
             number = int(lost.removeprefix("h"))
             other = (number + 1) % 10
             if how == "killed":
                 hosts.restart(number)
-            hosts.away.add(lost)
+            hosts.unreachable.add(lost)
             began = asyncio.get_running_loop().time()
             served = await hosts.request(other, TERMS, 1.5)
             return served, asyncio.get_running_loop().time() - began
@@ -203,7 +203,7 @@
         assert served
         assert seconds < 0.4
 
-    def test_programs_under_way_go_before_new_ones(self, log):
+    def test_active_programs_take_precedence_over_new_ones(self, log):
         """A customer sends twice its rate, half of it from programs under way.
 
         Those wait for their turn and are served; the new ones are refused at once
@@ -229,14 +229,14 @@
         assert under_way >= 95
         assert new <= 40
 
-    def test_refund_of_a_request_that_was_sent_to_no_target(self, log):
+    def test_refunded_token_can_be_used_again(self, log):
         async def main():
             hosts = Hosts(log, 1)
             await asyncio.sleep(2.0)
-            keeper = hosts.keepers["h0"]
+            limiter = hosts.limiters["h0"]
             for _ in range(100):
-                await keeper.take("r", TERMS, 0.0)
-                keeper.refund(TERMS)
+                await limiter.take("r", TERMS, 0.0)
+                limiter.refund(TERMS)
             return len(hosts.admitted["c"])
 
         assert run_paused(main()) == 0
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_share_allocator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_share_allocator.py
@@ -17,7 +17,7 @@
 from swifttide_standins.paused_clock import run_paused
 
 
-class Rates:
+class FakeRateLimiter:
     """Holds the share that a host uses."""
 
     def __init__(self):
@@ -31,17 +31,17 @@
         self.store, self.log = store, log
         self.rates = {}
         self.tasks = {}
-        self.most = 0.0
+        self.max_total_share = 0.0
 
     def start(self, ip):
-        rates = self.rates[ip] = Rates()
+        rates = self.rates[ip] = FakeRateLimiter()
         fleet = Fleet(peer(ip), self.log)
         fleet.all = lambda: [peer(other) for other in self.rates if other != ip]
         fleet.alive = fleet.all
-        keeper = ShareAllocator(self.store, fleet, rates, self.log)
+        allocator = ShareAllocator(self.store, fleet, rates, self.log)
         self.tasks[ip] = (
-            asyncio.create_task(keeper.run()),
-            asyncio.create_task(self.follow(keeper)),
+            asyncio.create_task(allocator.run()),
+            asyncio.create_task(self.follow(allocator)),
         )
 
     def kill(self, ip):
@@ -49,18 +49,20 @@
             task.cancel()
         del self.rates[ip]
 
-    async def follow(self, keeper):
+    async def follow(self, allocator):
         """Hand the row over as a watch does."""
         while True:
             for place, row in self.store.rows.range("fleet", "", KEY, KEY + "\0"):
-                keeper.apply_row(StoredRow(RowKey(*place), row.value, row.version))
+                allocator.apply_row(StoredRow(RowKey(*place), row.value, row.version))
             await asyncio.sleep(0.1)
 
     async def run(self, seconds):
         """Let time pass and note the most that is ever in use."""
         for _ in range(int(seconds / 0.05)):
             await asyncio.sleep(0.05)
-            self.most = max(self.most, sum(r.share for r in self.rates.values()))
+            self.max_total_share = max(
+                self.max_total_share, sum(r.share for r in self.rates.values())
+            )
 
 
 def peer(ip):
@@ -68,7 +70,7 @@
     return Peer(ip, 1, f"zone-{int(ip[1:]) % 3}", "boot")
 
 
-class NarrowStore:
+class SerializedStore:
     """A store whose empty part takes one transaction after the other.
 
     Attributes
@@ -76,8 +78,8 @@
     n_commits, n_throttled : int
     """
 
-    TX_SECONDS = 0.005
-    MOST_WAITING_SECONDS = 1.0
+    TRANSACTION_SECONDS = 0.005
+    MAX_QUEUE_SECONDS = 1.0
 
     def __init__(self, store):
         self._store = store
@@ -92,21 +94,21 @@
     async def commit(self, tx):
         now = asyncio.get_running_loop().time()
         self._free_at = max(now, self._free_at)
-        if self._free_at - now > self.MOST_WAITING_SECONDS:
+        if self._free_at - now > self.MAX_QUEUE_SECONDS:
             self.n_throttled += 1
             return Unavailable("status 429", throttled=True)
         self.n_commits += 1
-        self._free_at += self.TX_SECONDS
+        self._free_at += self.TRANSACTION_SECONDS
         await asyncio.sleep(self._free_at - now)
         return await self._store.commit(tx)
 
 
 class TestManyHosts:
-    def test_shares_are_taken_soon_after_all_hosts_start(self, store, log):
+    def test_all_shares_are_allocated_soon_after_a_fleet_starts(self, store, log):
         """Guards against 195 hosts writing one row while rates are nobody's."""
 
         async def main():
-            narrow = NarrowStore(store)
+            narrow = SerializedStore(store)
             hosts = Hosts(narrow, log)
             for i in range(195):
                 hosts.start(f"h{i}")
@@ -114,7 +116,7 @@
             total = sum(r.share for r in hosts.rates.values())
             n_start = narrow.n_commits
             await hosts.run(40.0)
-            return total, hosts.most, narrow, n_start
+            return total, hosts.max_total_share, narrow, n_start
 
         total, most, narrow, n_start = run_paused(main())
         assert total == pytest.approx(1.0)
@@ -123,7 +125,7 @@
         # Each holder renews twice in 40 s.
         assert narrow.n_commits - n_start <= 3 * MAX_HOLDERS
 
-    def test_host_whose_share_lapsed_stops_using_it(self, store, log, monkeypatch):
+    def test_host_stops_using_an_expired_share(self, store, log, monkeypatch):
         """Guards against a share that two hosts use after one was cut off for long."""
         monkeypatch.setattr(ShareAllocator, "_plan_slots", lambda *_: frozenset())
 
@@ -143,7 +145,7 @@
 
         assert run_paused(main()) == pytest.approx(1.0)
 
-    def test_next_host_in_order_takes_the_share_of_a_lost_one(self, store, log):
+    def test_next_candidate_takes_the_share_of_a_lost_host(self, store, log):
         async def main():
             hosts = Hosts(store, log)
             for i in range(60):
@@ -152,7 +154,7 @@
             holder = next(ip for ip, r in hosts.rates.items() if r.share)
             hosts.kill(holder)
             await hosts.run(70.0)
-            return sum(r.share for r in hosts.rates.values()), hosts.most
+            return sum(r.share for r in hosts.rates.values()), hosts.max_total_share
 
         total, most = run_paused(main())
         assert total == pytest.approx(1.0)
@@ -160,7 +162,7 @@
 
 
 class TestShares:
-    def test_some_hosts_of_a_large_fleet_hold_the_shares(self, store, log):
+    def test_only_some_hosts_of_a_large_fleet_hold_shares(self, store, log):
         """With a share at each of 69 hosts, tokens would be handed on by all of them
         to all others. Some hold shares, as many in each zone: a zone that is cut off
         goes on with its part.
@@ -173,7 +175,7 @@
             await hosts.run(20.0)
             shares = {ip: r.share for ip, r in hosts.rates.items() if r.share}
             zones = [peer(ip).zone for ip in shares]
-            return shares, {zones.count(z) for z in set(zones)}, hosts.most
+            return shares, {zones.count(z) for z in set(zones)}, hosts.max_total_share
 
         shares, by_zone, most = run_paused(main())
         assert len(shares) == MAX_HOLDERS
@@ -187,13 +189,15 @@
             for i in range(8):
                 hosts.start(f"h{i}")
             await hosts.run(8.0)
-            return [round(r.share, 6) for r in hosts.rates.values()], hosts.most
+            return [
+                round(r.share, 6) for r in hosts.rates.values()
+            ], hosts.max_total_share
 
         shares, most = run_paused(main())
         assert shares == [0.125] * 8
         assert most <= 1.000001
 
-    def test_restarted_host_has_its_share_at_once(self, store, log):
+    def test_restarted_host_resumes_its_share_immediately(self, store, log):
         async def main():
             hosts = Hosts(store, log)
             for i in range(4):
@@ -206,7 +210,7 @@
 
         assert run_paused(main()) == pytest.approx(0.25)
 
-    def test_share_of_a_lost_host_comes_back(self, store, log):
+    def test_share_of_a_lost_host_is_reallocated(self, store, log):
         async def main():
             hosts = Hosts(store, log)
             for i in range(4):
@@ -218,7 +222,7 @@
 
         assert run_paused(main()) == pytest.approx(1.0)
 
-    def test_slot_that_is_given_up_is_not_used_any_more(self, store, log):
+    def test_released_slot_is_not_used_after_a_lost_answer(self, store, log):
         """A host gives slots up and the answer to its write is lost.
 
         The write may take effect at any time, and another host takes the slots then:
@@ -226,26 +230,28 @@
         """
 
         async def main():
-            keeper = ShareAllocator(store, Fleet(peer("h0"), log), Rates(), log)
-            task = asyncio.create_task(keeper.run())
+            allocator = ShareAllocator(
+                store, Fleet(peer("h0"), log), FakeRateLimiter(), log
+            )
+            task = asyncio.create_task(allocator.run())
             await asyncio.sleep(1.0)
-            before = keeper.slots
+            before = allocator.slots
             store.delay = True
             row = store.rows.range("fleet", "", KEY, KEY + "\0")[0][1]
             entries = json.loads(row.value)
             entries["h1"] = [0.0, store.now_ms, []]
             store.rows.put("fleet", KEY, json.dumps(entries).encode())
             place, row = store.rows.range("fleet", "", KEY, KEY + "\0")[0]
-            keeper.apply_row(StoredRow(RowKey(*place), row.value, row.version))
+            allocator.apply_row(StoredRow(RowKey(*place), row.value, row.version))
             await asyncio.sleep(2.0)
             task.cancel()
-            return before, keeper.slots
+            return before, allocator.slots
 
         before, after = run_paused(main())
         assert (len(before), len(after)) == (64, 32)
 
     @pytest.mark.parametrize("seed", range(10))
-    def test_never_more_than_the_whole(self, store, log, seed):
+    def test_total_share_never_exceeds_one(self, store, log, seed):
         """Hosts are killed, started and added while the store fails in all its ways."""
         rng = random.Random(seed)
 
@@ -265,6 +271,6 @@
                 elif ip not in hosts.tasks:
                     hosts.start(ip)
                 await hosts.run(rng.uniform(0.1, 3.0))
-            return hosts.most
+            return hosts.max_total_share
 
         assert run_paused(main()) <= 1.000001
