--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_customer_pools.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_customer_pools.py
@@ -1,4 +1,9 @@
-"""Shares of customers' rates at one host, and the tokens that it keeps for all."""
+"""Token buckets of all customers at one host.
+
+For each customer the host has a bucket that refills its share of the customer's rate,
+and a pool that serves the requests of all hosts while this host owns the customer. At
+fixed intervals it transfers the tokens that it does not need itself to the owners.
+"""
 
 import asyncio
 import dataclasses
@@ -31,21 +36,21 @@
 )
 
 INITIAL_FILL_FRACTION = 0.25
-"""Part of its share of the burst that a host has at its start. Whoever ran here
-before may just have spent the burst; a quarter stays within the rule's allowance."""
+"""Initial fill of a host's share of the burst. The previous process at this host may
+just have spent the burst; a quarter stays within the excess that the limit allows."""
 
 EXTRA_STORED_FRACTION = 0.6
-"""Part of the requests by which a customer may exceed its limits that is stored for it:
-a program makes its requests within a second or two. The rest is for what is spent twice
-where hosts are lost."""
+"""Fraction of the allowed excess of a customer that is added to its burst, because a
+program makes its requests within a second or two. The remainder covers tokens that are
+spent twice when hosts fail."""
 
 TRANSFER_INTERVAL_SECONDS = 0.2
-"""Between handings-on: a tenth of a second's delay on average for a token that comes
-in, against five messages a second to each owner."""
+"""Interval between transfers. It delays a refilled token by 0.1 s on average and costs
+five messages per second to each owner host."""
 
 GRANT_INTERVAL_SECONDS = 0.02
-"""Between looks whether requests that wait at this owner can be served: two tokens of
-a customer of 100 requests a second."""
+"""Interval at which waiting requests are checked for available tokens: the time in
+which a customer of 100 requests per second gets two tokens."""
 
 
 @dataclass(slots=True)
@@ -59,14 +64,14 @@
 
     @property
     def has_tokens(self) -> bool:
-        """Whether there may be something to hand on."""
+        """Whether there may be tokens to transfer."""
         return (
             self.local.may_have_tokens or self.pool.level > 0.0 or self.returned > 0.0
         )
 
 
 class CustomerPools:
-    """Hands on what comes in here, and keeps the tokens of some customers.
+    """Transfers tokens that are refilled here, and owns the pools of some customers.
 
     Parameters
     ----------
@@ -74,16 +79,17 @@
     holders : callable
         Returns the addresses of the hosts that hold shares.
     send : callable
-        Sends a message to an address; it may be lost.
+        Sends a message to an address; the message may be lost.
     on_granted : callable
-        Takes the number of a request of this host that got its token.
+        Called with the customer and the number of a request of this host when it is
+        granted a token after waiting.
     extra : float
-        Requests by which any customer may exceed its rate and burst.
+        Number of requests by which any customer may exceed its rate and burst.
 
     Attributes
     ----------
     share : float
-        Part of all customers' rates that comes in at this host.
+        Fraction of all customers' rates that is refilled at this host.
     """
 
     def __init__(
@@ -106,13 +112,13 @@
         self.share = 0.0
 
     async def run(self) -> None:
-        """Hand tokens on until cancelled."""
+        """Transfer tokens at fixed intervals until cancelled."""
         while True:
             await asyncio.sleep(TRANSFER_INTERVAL_SECONDS)
             self._transfer_tokens()
 
     def update_customers(self, customers: tuple[CustomerTerms, ...]) -> None:
-        """Take the limits of all customers; forget those that have gone."""
+        """Apply the limits of all customers; discard customers without a limit."""
         limited = {t.name: t for t in customers if t.rate_per_second > 0}
         for name in set(self._customers) - set(limited):
             del self._customers[name]
@@ -120,19 +126,19 @@
             self.get_customer(terms)
 
     def suspect(self, host: str) -> None:
-        """Pass over a owner that didn't answer."""
+        """Skip an owner host that did not answer."""
         self._owner_choice.suspect(host)
 
     def owners(self, customer: str) -> list[str]:
-        """Return where the customer's tokens are, and where they would be next."""
+        """Return the owner of the customer's pool, followed by its successors."""
         return self._owner_choice.keepers(customer)
 
     def take_local_token(self, terms: CustomerTerms) -> bool:
-        """Take a token that this host kept of its own share."""
+        """Take a token that this host retained of its own share."""
         return self.get_customer(terms).local.take(elapsed_seconds())
 
     def return_token(self, customer: str) -> None:
-        """Return a token that wasn't used."""
+        """Return a token that was not used."""
         state = self._customers.get(customer)
         if state is not None:
             state.returned += 1.0
@@ -146,7 +152,7 @@
         may_be_new: bool = False,
         kind: str = "",
     ) -> TokenDecision:
-        """Ask for a token here."""
+        """Request a token from the pool at this host."""
         state = self.get_customer(terms)
         now = elapsed_seconds()
         self._deposit_local(state, now)
@@ -158,34 +164,35 @@
             )
             if seconds > 0.0:
                 return Denied(seconds)
-        asks_again = state.pool.has_request(request)
+        is_repeated = state.pool.has_request(request)
         decision = state.pool.request_token(request, now + wait_seconds, now)
         if isinstance(decision, Queued):
             self._schedule_grants(state)
-        # Counted once: a program that waits would seem larger the longer it waits.
-        if program and not asks_again and not isinstance(decision, Denied):
+        # Repeated queries are not counted: the estimated size of a program would
+        # otherwise grow with its waiting time.
+        if program and not is_repeated and not isinstance(decision, Denied):
             state.programs.record_request(
                 program, isinstance(decision, Queued), now, kind
             )
         return decision
 
     def cancel(self, customer: str, request: RequestKey) -> None:
-        """Take a request out that no longer waits here."""
+        """Remove a request that no longer waits here."""
         state = self._customers.get(customer)
         if state is not None:
             state.pool.cancel(request)
 
     def answer_request(self, ask: AskRate, sender: str) -> None:
-        """Answer another host's question, or pass it on to the owner."""
+        """Answer the query of another host, or forward it to the owner."""
         state = self._customers.get(ask.customer)
-        sender_ip = ask.ip or sender
-        if state is None or self._fleet.by_ip(sender_ip) is None:
+        origin_ip = ask.ip or sender
+        if state is None or self._fleet.by_ip(origin_ip) is None:
             return
         owner = self.owners(ask.customer)[0]
-        if owner not in (self._own.ip, sender_ip) and not ask.ip:
+        if owner not in (self._own.ip, origin_ip) and not ask.ip:
             self._send(owner, msgspec.structs.replace(ask, ip=sender))
             return
-        request = RequestKey(sender_ip, ask.boot, ask.number)
+        request = RequestKey(origin_ip, ask.boot, ask.number)
         decision = self.request_token(
             state.terms,
             request,
@@ -202,28 +209,28 @@
                 answer.is_queued = True
             case Denied(seconds):
                 answer.seconds = seconds
-        self._send(sender_ip, answer)
+        self._send(origin_ip, answer)
 
-    def receive_transfer(self, handed: HandRate, sender: str) -> None:
-        """Take tokens that another host handed on."""
+    def receive_transfer(self, message: HandRate, sender: str) -> None:
+        """Add tokens that another host transferred."""
         if self._fleet.by_ip(sender) is None:
             return
         now = elapsed_seconds()
-        for name, fields in handed.tokens.items():
+        for name, fields in message.tokens.items():
             state = self._customers.get(name)
             if state is None:
                 continue
             transfer = TokenTransfer(*fields)
-            state.pool.deposit(sender, handed.boot, handed.number, transfer, now)
+            state.pool.deposit(sender, message.boot, message.number, transfer, now)
             if state.pool.n_waiting:
                 self._grant_waiting(state)
 
     def get_customer(self, terms: CustomerTerms) -> "_CustomerState":
-        """Return what is kept of a customer, under its limits as they are now."""
+        """Return the state of a customer, updated to its current limits and share."""
         now = elapsed_seconds()
         rate = terms.rate_per_second
         burst = max(1.0, terms.burst) + self._extra
-        # What may be exceeded isn't there for whoever starts: it may just be spent.
+        # The initial fill excludes the allowed excess, which may just have been spent.
         level = INITIAL_FILL_FRACTION * (1.0 - self._extra / burst)
         state = self._customers.get(terms.name)
         if state is None:
@@ -239,7 +246,7 @@
         return state
 
     def _deposit_local(self, state, now):
-        """Take what came in here, where this host keeps the tokens."""
+        """Deposit the tokens refilled here if this host owns the pool."""
         own = self._own
         if self.owners(state.terms.name)[0] != own.ip:
             return
@@ -251,7 +258,7 @@
     def _transfer_tokens(self):
         now = elapsed_seconds()
         self._transfer_number += 1
-        handed: dict[str, dict[str, tuple[float, ...]]] = {}
+        transfers: dict[str, dict[str, tuple[float, ...]]] = {}
         for name, state in self._customers.items():
             self.get_customer(state.terms)
             owner = self.owners(name)[0]
@@ -267,8 +274,8 @@
             )
             state.returned = 0.0
             fields = dataclasses.astuple(transfer)
-            handed.setdefault(owner, {})[name] = tuple(round(f, 4) for f in fields)
-        for owner, tokens in handed.items():
+            transfers.setdefault(owner, {})[name] = tuple(round(f, 4) for f in fields)
+        for owner, tokens in transfers.items():
             self._send(owner, HandRate(self._own.boot, self._transfer_number, tokens))
 
     def _schedule_grants(self, state):
@@ -284,7 +291,7 @@
         self._grant_waiting(state)
 
     def _grant_waiting(self, state):
-        """Give tokens to requests that wait, in order."""
+        """Grant available tokens to waiting requests in order of arrival."""
         name = state.terms.name
         for request in state.pool.grant_waiting(elapsed_seconds()):
             if request.host == self._own.ip:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_rate_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_rate_limiter.py
@@ -1,15 +1,18 @@
-"""Requests let in within their customers' rates.
+"""Admission of requests within the rates of their customers.
 
-Load pattern: a customer's requests arrive unevenly at the hosts, several at once.
+Decides for each request of a customer with a rate limit whether it is admitted, from
+the tokens that this host retains and from the answer of the host that owns the
+customer's token pool. It serves a load in which a customer's requests arrive unevenly
+at the hosts, several at once.
 
-Without it: each host would admit the whole rate, or refuse at one host what another
-has to spare. At its limit a customer would have all its programs fail at some call, and
-none would finish.
+Without it, each host would admit the whole rate, or one host would refuse requests
+while another has tokens to spare. All programs of a customer at its limit would fail at
+some call, and none would complete.
 
-Grounds: tokens of a customer lie at one host, the same for all that ask; asking takes
-two to four milliseconds. Requests of programs under way wait there, in order of arrival
-over all hosts; only new programs are refused at once. A host that doesn't answer is
-passed over: others pass the question on to whoever keeps the tokens by then.
+The tokens of a customer are pooled at one host, which is the same for all hosts that
+ask; a query takes two to four milliseconds. Requests of active programs wait there in
+order of arrival over all hosts, and only new programs are refused immediately. A host
+that does not answer is skipped; the others forward the query to the current owner.
 """
 
 import asyncio
@@ -31,36 +34,37 @@
 from swifttide_daemon.telemetry import EventLog
 
 ANSWER_TIMEOUT_SECONDS = 0.03
-"""Time for a keeper's answer: the way to another zone and back takes two milliseconds,
-and a host that is busy answers after some more."""
+"""Time-out of a query to the owner host. A round trip to another zone takes two
+milliseconds, and a busy host needs some more to answer."""
 
 MIN_WAIT_SECONDS = 0.09
-"""Shortest wait for a keeper: three of them may be asked in it."""
+"""Shortest time for which a token is sought: three owners can be queried in it."""
 
 REPEAT_INTERVAL_SECONDS = 0.25
-"""A request that waits at a keeper asks again after so long: the keeper may have died
-since, or its answer been lost."""
+"""Interval at which a waiting request repeats its query. The owner may have failed in
+the meantime, or its answer may have been lost."""
 
 CLOSED_RETENTION_SECONDS = 2.0
-"""A token that comes for a request that has left is returned for so long."""
+"""Time for which requests that ended without a token are remembered, so that a token
+that arrives late for one of them is returned."""
 
 MAX_RETRY_SECONDS = 2.0
-"""Longest time that a caller is told to stay away: longer than most outages of a
-keeper."""
+"""Upper bound of the retry delay given to callers: longer than most outages of an owner
+host."""
 
 MIN_REMAINING_SECONDS = 0.001
-"""With less time left no keeper's answer arrives any more."""
+"""Remaining time below which no answer of an owner host can arrive any more."""
 
 REQUEST_NUMBER_BITS = 53
-"""Of a request's number: what JSON numbers hold exactly everywhere."""
+"""Length of request numbers: integers that every JSON parser represents exactly."""
 
 MIN_RETRY_SECONDS = 0.1
-"""Shortest such time: some ways to a keeper and back."""
+"""Lower bound of the retry delay given to callers: some round trips to an owner."""
 
 
 @dataclass(slots=True)
 class _PendingRequest:
-    """A request that waits for a token, and what it was told last."""
+    """A request that waits for a token, with the last decision on it."""
 
     program: str
     may_be_new: bool
@@ -69,13 +73,13 @@
     decision: TokenDecision | None = None
 
     def set_decision(self, decision: TokenDecision) -> None:
-        """Take an answer; a token that was granted stays so."""
+        """Store a decision, unless a token was granted before, and wake the waiter."""
         if not isinstance(self.decision, Granted):
             self.decision = decision
         self.answered.set()
 
     async def wait_for_decision(self, seconds: float) -> TokenDecision | None:
-        """Return the next answer; None if there is none in time."""
+        """Return the next decision; None if none arrives within this time."""
         try:
             async with asyncio.timeout(max(0.0, seconds)):
                 await self.answered.wait()
@@ -87,7 +91,11 @@
 
 @dataclass(slots=True)
 class _CustomerRequests:
-    """Requests of one customer that wait for an answer, by their numbers."""
+    """Requests of one customer at this host, by their numbers.
+
+    ``waiting`` holds those that wait for a decision, ``closed`` the times at which
+    others ended without a token.
+    """
 
     waiting: dict[int, _PendingRequest] = field(default_factory=dict)
     closed: dict[int, float] = field(default_factory=dict)
@@ -102,10 +110,10 @@
     holders : callable
         Returns the addresses of the hosts that hold shares of the rates.
     send : callable
-        Sends a message to an address; it may be lost.
+        Sends a message to an address; the message may be lost.
     log : EventLog
     extra : float
-        Requests by which any customer may exceed its rate and burst.
+        Number of requests by which any customer may exceed its rate and burst.
     """
 
     def __init__(
@@ -124,7 +132,7 @@
 
     @property
     def share(self) -> float:
-        """Part of all customers' rates that comes in at this host."""
+        """Fraction of all customers' rates that is refilled at this host."""
         return self._pools.share
 
     @share.setter
@@ -132,11 +140,11 @@
         self._pools.share = share
 
     async def run(self) -> None:
-        """Hand tokens on until cancelled."""
+        """Transfer tokens to the owners of the pools until cancelled."""
         await self._pools.run()
 
     def update_customers(self, customers: tuple[CustomerTerms, ...]) -> None:
-        """Take the limits of all customers."""
+        """Apply the limits of all customers."""
         self._pools.update_customers(customers)
 
     async def take(
@@ -148,48 +156,48 @@
         may_be_new: bool = False,
         kind: str = "",
     ) -> None:
-        """Count a request; raises `Refusal` when it is over the rate.
+        """Take a token for a request; raises `Refusal` if the rate is exceeded.
 
         Parameters
         ----------
         request_id : str
         terms : CustomerTerms
         wait_seconds : float
-            How long the request may wait for its turn; 0 for one that is refused
-            when there is no token to spare.
+            Time for which the request may wait for a token; with 0 it is refused
+            unless a token is available immediately.
         program : str
-            Key of the program that it belongs to; empty without one.
+            Key of the program of the request; empty if it belongs to none.
         may_be_new : bool
-            Whether it may be the first of its program.
+            Whether this may be the first request of its program.
         kind : str
-            Of the program; empty where the request doesn't tell.
+            Kind of the program; empty if the request does not state it.
         """
         if terms.rate_per_second <= 0:
             return
-        account = self._requests.setdefault(terms.name, _CustomerRequests())
-        is_first_come = not account.waiting and not may_be_new
+        requests = self._requests.setdefault(terms.name, _CustomerRequests())
+        is_first_come = not requests.waiting and not may_be_new
         if is_first_come and self._pools.take_local_token(terms):
             return
-        # Drawn at random: who can't read it can't forge an answer to it.
+        # Random, so that a sender that cannot read the query cannot forge its answer.
         number = secrets.randbits(REQUEST_NUMBER_BITS)
-        pending = account.waiting[number] = _PendingRequest(program, may_be_new, kind)
+        pending = requests.waiting[number] = _PendingRequest(program, may_be_new, kind)
         try:
             seconds = await self._wait_for_token(terms, number, pending, wait_seconds)
         finally:
-            del account.waiting[number]
+            del requests.waiting[number]
             self._pools.cancel(terms.name, self._request_key(number))
             if not isinstance(pending.decision, Granted):
-                self._close(account, number)
+                self._close(requests, number)
         if not isinstance(pending.decision, Granted):
             self._refuse(request_id, pending, terms, seconds)
 
     def refund(self, terms: CustomerTerms) -> None:
-        """Take back the token of a request that was sent to no target."""
+        """Return the token of a request that was not sent to any target."""
         if terms.rate_per_second > 0:
             self._pools.return_token(terms.name)
 
     def handle_message(self, message: RateMessage, sender: str) -> None:
-        """Take another host's message."""
+        """Handle a message of another host."""
         match message:
             case AskRate():
                 self._pools.answer_request(message, sender)
@@ -199,38 +207,38 @@
                 self._handle_answer(customer, number, _decision_of(message))
 
     def _handle_answer(self, customer, number, decision):
-        account = self._requests.get(customer)
-        if account is None:
+        requests = self._requests.get(customer)
+        if requests is None:
             return
-        pending = account.waiting.get(number)
+        pending = requests.waiting.get(number)
         if pending is not None:
             pending.set_decision(decision)
-        elif isinstance(decision, Granted) and account.closed.pop(number, None):
-            # Once only: an answer that comes twice must not return two tokens.
+        elif isinstance(decision, Granted) and requests.closed.pop(number, None):
+            # Only once: a duplicated answer must not return two tokens.
             self._pools.return_token(customer)
 
     def _handle_grant(self, customer, number):
         self._handle_answer(customer, number, Granted())
 
-    def _close(self, account, number):
-        """Remember a request that has left, for a token that may be on its way."""
+    def _close(self, requests, number):
+        """Remember a request without a token, for a grant that may still arrive."""
         now = asyncio.get_running_loop().time()
-        account.closed[number] = now
-        for old in list(account.closed):
-            if now - account.closed[old] < CLOSED_RETENTION_SECONDS:
+        requests.closed[number] = now
+        for old in list(requests.closed):
+            if now - requests.closed[old] < CLOSED_RETENTION_SECONDS:
                 break
-            del account.closed[old]
+            del requests.closed[old]
 
     def _request_key(self, number) -> RequestKey:
         return RequestKey(self._own.ip, self._own.boot, number)
 
     async def _wait_for_token(self, terms, number, pending, wait_seconds) -> float:
-        """Ask until there is a token or time is up; return when to come back."""
+        """Query until there is a token or time is up; return the retry delay."""
         loop = asyncio.get_running_loop()
         until = loop.time() + max(MIN_WAIT_SECONDS, wait_seconds)
         seconds = MIN_RETRY_SECONDS
-        while (left := until - loop.time()) > MIN_REMAINING_SECONDS:
-            query_wait_seconds = min(left, wait_seconds)
+        while (remaining := until - loop.time()) > MIN_REMAINING_SECONDS:
+            query_wait_seconds = min(remaining, wait_seconds)
             match await self._query_owner(terms, number, pending, query_wait_seconds):
                 case Granted():
                     break
@@ -250,7 +258,7 @@
     async def _query_owner(
         self, terms, number, pending, query_wait_seconds
     ) -> TokenDecision | None:
-        """Return what a keeper says; None if it says nothing."""
+        """Return the decision of the owner host; None if it does not answer in time."""
         owner = self._pools.owners(terms.name)[0]
         if owner == self._own.ip:
             request, program = self._request_key(number), pending.program
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_rate_messages.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_rate_messages.py
@@ -1,30 +1,31 @@
-"""Datagrams about customers' rates."""
+"""Datagrams between hosts for the rate limits of customers."""
 
 import msgspec
 
 
 class AskRate(msgspec.Struct, array_like=True, tag="ask_rate"):
-    """Ask for a token.
+    """Request for a token.
 
     Parameters
     ----------
     customer : str
+        Name of the customer.
     boot : str
-        Process of the host that asks.
+        Identifier of the process that sends the query.
     number : int
-        Of the request at that host; the same when it asks again.
+        Number of the request at that host; unchanged in repeated queries.
     wait_seconds : float
-        How long the request may wait at the keeper; 0 for a token that is there.
+        Time for which the request may wait at the owner host; 0 if it needs a token
+        that is available immediately.
     program : str
-        Key of the program that it belongs to; empty without one.
+        Key of the program of the request; empty if it belongs to none.
     may_be_new : bool
-        Whether it may be the first of its program, so that it is let in only if the
-        rate carries another program.
+        Whether this may be the first request of its program, which is admitted only if
+        the rate suffices for one more program.
     ip : str
-        Address of the host that asked first, where another one passes the question
-        on; empty otherwise.
+        Address of the original sender if the query is forwarded; empty otherwise.
     kind : str
-        Of the program, by its turns' route; empty where it isn't known.
+        Kind of the program, from the route of its turns; empty if unknown.
     """
 
     customer: str
@@ -38,20 +39,23 @@
 
 
 class RateAnswer(msgspec.Struct, array_like=True, tag="rate"):
-    """What became of a question.
+    """Answer to a request for a token.
 
     Parameters
     ----------
     customer : str
+        Name of the customer.
     boot : str
-        Of the host that asked.
+        Identifier of the process that sent the query.
     number : int
+        Number of the request at the host that sent the query.
     is_granted : bool
-        Whether the request may go on.
+        Whether the request got a token.
     is_queued : bool
-        Whether it waits at the keeper.
+        Whether the request waits at the owner host.
     seconds : float
-        Until there may be a token, where it neither may go on nor waits.
+        Expected time until a token is available, if the request is neither granted
+        nor queued.
     """
 
     customer: str
@@ -63,16 +67,16 @@
 
 
 class HandRate(msgspec.Struct, array_like=True, tag="hand_rate"):
-    """Hand tokens on; they are no longer the sender's when this is sent.
+    """Transfer of tokens, which the sender has removed from its own buckets.
 
     Parameters
     ----------
     boot : str
-        Of the sender.
+        Identifier of the sender's process.
     number : int
-        Grows with each such message of a process.
+        Sequence number, which increases with each transfer of a process.
     tokens : dict of str to tuple of float
-        For each customer the fields of a `Handful`.
+        Fields of a `TokenTransfer` by customer.
     """
 
     boot: str
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_share_allocator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_share_allocator.py
@@ -1,16 +1,17 @@
-"""The share that one host has of all customers' rates, and its slots of programs.
-
-The shares of all hosts stand in one row. A host changes only its own entry, under the
-row's version, and never to more than what the others leave. One that lowers its share
-does so before it writes, one that raises it afterwards: the shares in use never add up
-to more than one. Slots are given up and taken in the same way, in the same write.
-
-Load pattern: hundreds of hosts start at the same moment, and each write of the one row
-takes its part of the store some milliseconds.
-
-Without it: every host writes the row, nearly all of them in vain, and those that are to
-hold shares don't get a word in. In a large fleet only hosts that hold something have an
-entry, and only those next in order try to get one.
+"""Allocation of shares of customers' rates and of program slots to hosts.
+
+Decides which share of all customers' rates this host uses and which slots of programs
+it owns, from the entries of all hosts in one row of the shared store and from the hosts
+that are alive. A host changes only its own entry, on condition that the row's version
+is unchanged, and never to more than the other entries leave. A host applies a lower
+share before the write and a higher one after it, so that the shares in use never add up
+to more than one. Slots are released and acquired in the same way, in the same write.
+
+It serves a load in which hundreds of hosts start at the same moment, while each write
+of the row occupies its partition of the store for some milliseconds. If every host
+wrote the row, nearly all writes would conflict, and the hosts that are to hold shares
+would rarely succeed. In a large fleet, therefore, only hosts with a share or slots have
+an entry, and only the next candidates in order try to get one.
 """
 
 import asyncio
@@ -39,38 +40,38 @@
 KEY = "shares"
 
 MEMBERSHIP_SETTLE_SECONDS = 0.5
-"""A host that starts waits until no other one was new to it for so long: whoever knows
-nobody takes everything."""
+"""Time without a newly discovered host after which a starting host considers the fleet
+known. A host that knows no other one would take all shares."""
 
 MAX_MEMBERSHIP_SETTLE_SECONDS = 2.0
 
 LEASE_MS = 60_000
-"""An entry that isn't renewed for so long is free again. Long against outages of the
-store: whoever is cut off goes on with its share, and one share in ten or more that
-nobody uses is borne by the room that customers' rates have."""
+"""Time without renewal after which an entry expires. It is long compared to outages of
+the store, because a partitioned host continues to use its share. One unused share in
+ten or more is covered by the headroom in customers' rates."""
 
 SLOT_RETENTION_MS = 7_200_000
-"""Slots of a host that has vanished stay its own for so long after its lease: what it
-lent while the store was away may count as long."""
+"""Time after the expiry of an entry for which its slots remain reserved. Tokens that
+the host lent from them during an outage of the store may be valid for as long."""
 
 RENEW_MS = 20_000
-"""An entry is renewed when it is so old: two renewals may fail."""
+"""Age at which an entry is renewed; two renewals may fail before it expires."""
 
 CHECK_INTERVAL_SECONDS = 1.0
-"""Between looks at the shares."""
+"""Mean interval between checks of the shares."""
 
 WRITE_SPREAD_SECONDS = 0.03
-"""For each host that writes as a fleet starts: over so long, times their number, they
-write their first entries. A transaction takes 5 ms, and each one that comes between
-costs another try."""
+"""Time over which first writes are spread when a fleet starts, per writing host. A
+transaction takes 5 ms, and each conflicting one costs another attempt."""
 
 MAX_HOLDERS = 12
-"""Hosts that hold shares of the rates, in larger fleets as many in each zone. With
-fewer, one that is lost costs customers more of their rates for a minute; each more is
-a message to every keeper, five times a second."""
+"""Largest number of hosts with a share of the rates; in larger fleets they are divided
+evenly among the zones. With fewer, the loss of one costs customers a larger part of
+their rates for a minute. Each further one sends a message to every owner host, five
+times per second."""
 
 READ_RETRY_SECONDS = 0.2
-"""Pause before the row is read again while the store is away."""
+"""Delay before the row is read again while the store is unavailable."""
 
 SHARE_TOLERANCE = 1e-6
 
@@ -82,18 +83,18 @@
 
 
 class ShareAllocator:
-    """Keeps this host's entry.
+    """Maintains this host's entry in the row of shares.
 
     Parameters
     ----------
     store : SharedStore
     fleet : Fleet
-        A process that starts again at this host's address takes over its
-        predecessor's entry: two can't run at one address.
+        A process that restarts at this host's address takes over the entry of its
+        predecessor, because two processes cannot run at one address.
     rates : RateKeeper
     log : EventLog
-    may_give_up : callable
-        Tells whether nothing was lent from this host's slots.
+    may_release_slots : callable
+        Returns whether no tokens are lent from this host's slots.
     """
 
     def __init__(
@@ -118,7 +119,7 @@
 
     @property
     def slots(self) -> frozenset[int]:
-        """The slots that this host may use."""
+        """Slots that this host may use; empty once its entry has expired."""
         own = self._entries.get(self._ip)
         if own is None or self._now_ms - own.renewed_ms >= LEASE_MS:
             return frozenset()
@@ -129,12 +130,12 @@
         return self._holders
 
     def owner_of(self, slot: int) -> str | None:
-        """Return the IP of the host that owns a slot, as far as is known."""
+        """Return the IP of the host that owns a slot by the last known row, or None."""
         owners = (ip for ip, entry in self._entries.items() if slot in entry.slots)
         return next(owners, None)
 
     def apply_row(self, row: StoredRow) -> None:
-        """Take the row of shares."""
+        """Apply the row of shares, unless it is older than the known version."""
         if row.version < self._version:
             return
         self._apply_entries(_decode(row.value), row.version)
@@ -149,9 +150,9 @@
         self._holders = tuple(sorted(holders))
 
     async def run(self) -> None:
-        """Keep the entry until cancelled."""
+        """Maintain the entry until cancelled."""
         await self._read()
-        # All hosts of a fleet start together: spread out, they conflict less.
+        # Hosts of a fleet start simultaneously; random delays reduce write conflicts.
         if self._ip not in self._entries:
             await self._wait_for_membership()
             await self._pause_randomly()
@@ -163,7 +164,7 @@
             await asyncio.sleep(CHECK_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
 
     async def _wait_for_membership(self):
-        """Wait until the other hosts of a fleet that starts are known."""
+        """Wait until the other hosts of a starting fleet are known."""
         loop = asyncio.get_running_loop()
         until = loop.time() + MAX_MEMBERSHIP_SETTLE_SECONDS
         known = -1
@@ -192,23 +193,23 @@
 
     @property
     def _now_ms(self):
-        """The store's clock, as far as this host can tell."""
+        """Estimate of the store's clock, in milliseconds."""
         return int(asyncio.get_running_loop().time() * 1000) + self._clock_ahead_ms
 
     async def give_up(self) -> None:
-        """Remove the entry of a host that leaves."""
+        """Stop using the share and remove the entry, before this host leaves."""
         self._set_share(0.0)
         entries = dict(self._entries)
         if entries.pop(self._ip, None) is not None:
             await self._write(entries)
 
     async def _update_entry(self) -> bool:
-        """Change or renew the own entry if need be; return whether all is done."""
+        """Update the own entry if necessary; return whether it is up to date."""
         entries = self._retained_entries()
         own = entries.get(self._ip)
         present = self._live_entries(entries)
         others = sum(e.share for ip, e in entries.items() if ip != self._ip)
-        # Hosts of a fleet that starts are heard before they have entries.
+        # Hosts of a starting fleet are heard from before they have entries.
         n_heard = len(self._fleet.alive()) + 1
         n_hosts = max(len(present) + (own is None), n_heard)
         fair = 1.0 / min(n_hosts, MAX_HOLDERS)
@@ -218,7 +219,7 @@
             wanted = min(fair, max(0.0, 1.0 - others))
         has_some = own is not None and (own.share > 0.0 or own.slots)
         if not (may_hold or has_some):
-            # Others may have taken what lapsed while this host was cut off.
+            # The share may have expired, and been taken, while this host was cut off.
             self._set_share(0.0)
             return True
         slots = self._plan_slots(entries, own, min(n_hosts, MAX_HOLDERS))
@@ -229,7 +230,7 @@
             same_slots = slots == frozenset(own.slots)
             if not due and same_slots and abs(wanted - own.share) <= SHARE_TOLERANCE:
                 return True
-            # No longer used from here on, whatever becomes of the write.
+            # Released slots are unused from here on, whether or not the write succeeds.
             self._released_slots |= frozenset(own.slots) - slots
         if wanted < self._rates.share:
             self._set_share(wanted)
@@ -240,9 +241,10 @@
         return True
 
     def _may_hold(self, present) -> bool:
-        """Whether this host may hold a share in a fleet where only some do.
+        """Return whether this host may hold a share in a fleet where only some do.
 
-        One that has none may if it is next in its zone for a place that is free.
+        A host without a share may get one if it is among the first candidates of its
+        zone for the free places.
         """
         zone = self._fleet.own.zone
         peers = {peer.ip: peer.zone for peer in self._fleet.all()}
@@ -257,7 +259,7 @@
         return self._ip in itertools.islice(others, max(0, n_free))
 
     def _is_any_below_fair_share(self, present, fair) -> bool:
-        """Whether a host that may hold a share has less than a fair one."""
+        """Return whether a host that may hold a share has less than a fair one."""
         shares = [e.share for e in present.values()]
         n_fair = sum(share >= fair - SHARE_TOLERANCE for share in shares)
         return n_fair < min(len(shares), MAX_HOLDERS)
@@ -268,17 +270,17 @@
         return plan_slots(held, others, n_hosts, self._may_release_slots())
 
     def _live_entries(self, entries):
-        """Return the entries of hosts that are there."""
+        """Return this host's entry and all others that have not expired."""
         return {ip: entry for ip, entry in entries.items() if self._is_live(ip, entry)}
 
     def _is_live(self, ip, entry) -> bool:
         return ip == self._ip or self._now_ms - entry.renewed_ms < LEASE_MS
 
     def _retained_entries(self):
-        """Return the entries that hold, by the store's clock.
+        """Return the entries that are still in effect, by the store's clock.
 
-        Of hosts that have vanished only the slots remain, without an owner that uses
-        them, until what they lent has been forgotten.
+        Expired entries retain only their slots, which no host uses, until the tokens
+        lent from them are no longer valid.
         """
         found = {}
         for ip, entry in self._entries.items():
@@ -307,7 +309,10 @@
         return False
 
     def _clear_released_slots(self):
-        """Forget slots that the row no longer has as ours: they may come back."""
+        """Clear released slots that the row no longer assigns to this host.
+
+        This host may acquire them again later.
+        """
         own = self._entries.get(self._ip)
         self._released_slots &= frozenset(own.slots if own else ())
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_rate_hosts.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_rate_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that keep customers' rates, on a network that loses messages."""
+"""Simulated hosts with rate limiters, on a network that loses messages."""
 
 import asyncio
 import random
@@ -11,26 +11,27 @@
 
 TERMS = CustomerTerms("c", rate_per_second=15.0, burst=15.0)
 WINDOW_SECONDS = 5.0
-"""Seconds in which a customer's requests are counted."""
+"""Length of the window in which admitted requests of a customer are counted."""
 
 EXTRA_REQUESTS = 20.0
-"""Requests by which the rule lets a customer exceed its limits in a window."""
+"""Number of requests by which a customer may exceed its limits in a window."""
 
 MAX_HOLDERS = 12
 
 
 class Hosts:
-    """Hosts with a network that loses, doubles and delays messages.
+    """Hosts on a network that loses, duplicates and delays messages.
 
     Parameters
     ----------
     n_hosts : int
     customers : tuple of CustomerTerms
-    loss, doubled : float
-        Part of the messages that are lost, and that come twice.
+    loss, duplication : float
+        Fractions of the messages that are lost, and that are delivered twice.
     seed : int
     extra : float
-        Requests by which a customer may exceed its limits, as the hosts know it.
+        Number of requests by which a customer may exceed its limits, as configured at
+        the hosts.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self.admitted = {t.name: [] for t in customers}
         self.peers = [Peer(f"h{i}", 1, f"z{i % 3}", f"b{i}") for i in range(n_hosts)]
         self.unreachable = set()
-        """Hosts that are cut off, frozen or dead."""
+        """Addresses of hosts that are partitioned, suspended or dead."""
         self.limiters = {}
         self.tasks = {}
         for own in self.peers:
@@ -74,7 +75,7 @@
         self.tasks[own.ip] = asyncio.create_task(limiter.run())
 
     def restart(self, number):
-        """Kill a host and start its next process."""
+        """Kill a host's process and start a new one at its address."""
         old = self.peers[number]
         self.tasks[old.ip].cancel()
         own = Peer(old.ip, 1, old.zone, old.boot + "+")
@@ -102,7 +103,7 @@
             self.limiters[ip].handle_message(message, sender)
 
     async def request(self, number, terms=TERMS, wait=0.0):
-        """Ask to be let in at a host; return whether it was."""
+        """Send a request to a host; return whether it was admitted."""
         limiter = self.limiters[self.peers[number % len(self.peers)].ip]
         try:
             await limiter.take("r", terms, wait)
@@ -112,7 +113,7 @@
         return True
 
     def max_admitted_in_window(self, terms=TERMS):
-        """Return the most requests let in within any window."""
+        """Return the largest number of requests admitted within any window."""
         times = sorted(self.admitted[terms.name])
         return max(
             (sum(1 for t in times if s <= t < s + WINDOW_SECONDS) for s in times),
@@ -121,13 +122,13 @@
 
 
 def max_allowed_in_window(terms):
-    """Return what the rule lets a customer have in a window."""
+    """Return the number of requests that a customer may have admitted in a window."""
     owed = terms.rate_per_second * WINDOW_SECONDS + terms.burst
     return owed * 1.1 + EXTRA_REQUESTS
 
 
 class CentralBucket:
-    """One bucket that every request reaches at once: what a customer is due."""
+    """Ideal reference: one token bucket that every request reaches without delay."""
 
     def __init__(self, terms):
         self.rate, self.burst = terms.rate_per_second, terms.burst
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_program_rates.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_program_rates.py
@@ -1,4 +1,4 @@
-"""Programs of a customer that is at its rate."""
+"""Tests of the admission of programs of a customer that is at its rate."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 from swifttide_standins.paused_clock import run_paused
 
 REQUESTS_PER_STAGE = (1, 3, 3, 3, 3, 3)
-"""Requests that a program makes at once, one stage after the other."""
+"""Number of concurrent requests of a program in each of its consecutive stages."""
 
 STAGE_SECONDS = 0.25
 DEADLINE_SECONDS = 1.6 * STAGE_SECONDS * len(REQUESTS_PER_STAGE)
@@ -30,7 +30,7 @@
         self.n_started = 0
 
     async def run(self, name):
-        """Run a program; its first request comes again twice if it is refused."""
+        """Run a program; its first request is retried up to twice after a refusal."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         number = self.hosts.rng.randrange(len(self.hosts.peers))
@@ -51,7 +51,7 @@
         self.n_in_time += loop.time() - began <= DEADLINE_SECONDS
 
     async def request(self, number, name, may_be_new):
-        """Return None if the request was let in, or when to come back."""
+        """Return None if the request was admitted, else the retry delay in seconds."""
         limiter = self.hosts.limiters[self.hosts.peers[number % 9].ip]
         try:
             await limiter.take("r", self.terms, 1.5, name, may_be_new)
@@ -62,9 +62,11 @@
 
 class TestReturnedTokens:
     def test_program_in_a_loop_does_not_starve_others(self, log):
-        """A program has used its token budget up and asks for turns all the same, at
-        many hosts; each is refused and returns its token. The customer's other
-        programs must find those tokens.
+        """Guards against the loss of rate tokens of refused turns.
+
+        A program has exhausted its token budget and continues to request turns at many
+        hosts. Each is refused and returns its rate token, which must be available to
+        other programs of the customer.
         """
         terms = CustomerTerms("c", (), None, 9.0, 9.0)
 
@@ -91,11 +93,11 @@
 
 class TestPrograms:
     def test_admitted_programs_end_in_time(self, log):
-        """A customer begins twice as many programs as its rate can carry.
+        """A customer starts twice as many programs as its rate can serve.
 
-        Let in as they come, they take each other's tokens, and the customer's rate is
-        spent on programs that end late or not at all: of 360 programs, of which 180
-        fit, 20 to 30 then end in time.
+        Without admission control, the programs compete for tokens, and the customer's
+        rate is spent on programs that end late or never: of 360 programs, 180 of which
+        fit the rate, 20 to 30 end in time.
         """
         terms = CustomerTerms("c", (), None, 8.0, 8.0)
 
@@ -113,7 +115,7 @@
         assert sum(run_paused(main(seed)) for seed in range(6)) >= 80
 
     def test_program_that_needs_more_than_the_rate_ends_in_time(self, log):
-        """Guards against long programs of small customers that all end late."""
+        """Guards against delays of all long programs of customers with small rates."""
         terms = CustomerTerms("c", (), None, 8.0, 8.0)
         n_stages, width, stage_seconds = 11, 3, 0.13
 
@@ -137,9 +139,11 @@
         assert max(run_paused(main())) <= aim
 
     def test_repeated_query_is_counted_once(self, log):
-        """A request of a program waits for its token and asks again meanwhile. Counted
-        each time, programs that had to wait would seem larger than they are, and fewer
-        be let in beside them.
+        """Guards against inflated size estimates of programs that wait for tokens.
+
+        A request that waits for a token repeats its query. If each query was counted,
+        programs that wait would seem larger than they are, and fewer programs would be
+        admitted beside them.
         """
         terms = CustomerTerms("c", (), None, 1.0, 1.0)
 
@@ -158,7 +162,7 @@
         assert sizes.calls == pytest.approx(6.0 + (2 - 6.0) / 3)
 
     def test_customer_within_its_rate_starts_all_programs(self, log):
-        """Programs of a customer that stays within its rate are all let in at once."""
+        """All programs of a customer within its rate are admitted without delay."""
         terms = CustomerTerms("c", (), None, 60.0, 60.0)
 
         async def main():
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_rate_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_rate_limiter.py
@@ -1,4 +1,4 @@
-"""A customer's rate over several hosts."""
+"""Tests of the rate limit of a customer over several hosts."""
 
 import asyncio
 
@@ -19,9 +19,12 @@
 class TestRates:
     @pytest.mark.parametrize("n_hosts", [9, 69, 300])
     def test_customers_within_their_rates_are_rarely_refused(self, log, n_hosts):
-        """Customers of 1 to 100 requests a second send five eighths of their rates,
-        each request to any host. With equal shares no host has a whole token of a
-        small customer, and its programs fail at their first call or later ones.
+        """Guards against refusals of small customers in large fleets.
+
+        Customers with limits of 1 to 100 requests per second send five eighths of their
+        rates, each request to a random host. With equal shares at all hosts, no host
+        would have a whole token of a small customer, and the calls of its programs
+        would fail.
         """
         rates = (1.0, 2.0, 5.0, 5.0, 8.0, 13.0, 20.0, 34.0, 63.0, 100.0)
         customers = tuple(
@@ -57,9 +60,10 @@
         assert served >= n_due * 0.999
 
     def test_customer_gets_its_whole_rate_through_one_host(self, log):
-        """All callers of a customer arrive at one host of ten.
+        """Guards against a limit of one share for customers that use a single host.
 
-        Its own share is a tenth; the rest comes from hosts that don't need theirs.
+        All callers of a customer reach one host of ten. Its own share is a tenth; the
+        remaining tokens come from hosts that do not need their shares.
         """
 
         async def main():
@@ -76,7 +80,7 @@
     @pytest.mark.parametrize("extra", [0.0, EXTRA_REQUESTS])
     @pytest.mark.parametrize("seed", range(8))
     def test_rate_is_not_exceeded_under_overload(self, log, seed, extra):
-        """A customer sends many times its rate at all hosts, and messages get lost."""
+        """A customer sends many times its rate to all hosts while messages are lost."""
 
         async def main():
             hosts = Hosts(log, 10, loss=0.2 * (seed % 3), seed=seed, extra=extra)
@@ -95,9 +99,11 @@
     @pytest.mark.parametrize("extra", [0.0, EXTRA_REQUESTS])
     @pytest.mark.parametrize("seed", range(12))
     def test_rate_is_not_exceeded_when_hosts_fail(self, log, seed, extra):
-        """Hosts are killed, frozen and cut off, each on its own or many at a time,
-        and messages are lost and doubled, while a customer sends far beyond its rate.
-        A host that wakes believes at first that it still keeps the tokens.
+        """Guards against excess admissions after failures.
+
+        Hosts are killed, suspended and partitioned, one or many at a time, and messages
+        are lost and duplicated, while a customer sends far more than its rate. A host
+        that resumes initially still considers itself the owner of the pool.
         """
         terms = CustomerTerms("c", (), None, *[(15.0, 15.0), (60.0, 60.0)][seed % 2])
 
@@ -129,8 +135,10 @@
     @pytest.mark.parametrize("extra", [0.0, EXTRA_REQUESTS])
     @pytest.mark.parametrize("seed", range(4))
     def test_forged_messages_do_not_raise_the_rate(self, log, seed, extra):
-        """A host's address sends tokens that nobody took out of a share, claims the
-        whole burst, answers questions that nobody asked, and repeats itself.
+        """Forged messages from the address of one host arrive at all others.
+
+        They transfer tokens that were taken from no share, claim the whole burst, and
+        answer queries that were never sent, some of them repeatedly.
         """
 
         async def main():
@@ -155,7 +163,7 @@
         assert run_paused(main()) <= max_allowed_in_window(TERMS)
 
     def test_messages_of_unknown_hosts_are_ignored(self, log):
-        """Whoever isn't a host of the fleet sends tokens and takes part in nothing."""
+        """Transfers of an unknown sender or for an unknown customer have no effect."""
 
         async def main():
             hosts = Hosts(log, 2)
@@ -180,9 +188,10 @@
 
     @pytest.mark.parametrize("how", ["killed", "cut off"])
     def test_request_is_served_soon_after_the_owner_is_lost(self, log, how):
-        """The host that keeps a customer's tokens dies, or is cut off from all others.
+        """The owner of a customer's pool dies, or is partitioned from all other hosts.
 
-        Programs under way wait for the next limiter, which fills as tokens come in.
+        Requests of active programs wait for the next owner, whose pool fills as tokens
+        are transferred to it.
         """
 
         async def main():
@@ -204,10 +213,10 @@
         assert seconds < 0.4
 
     def test_active_programs_take_precedence_over_new_ones(self, log):
-        """A customer sends twice its rate, half of it from programs under way.
+        """A customer sends twice its rate, half of it from active programs.
 
-        Those wait for their turn and are served; the new ones are refused at once
-        and have lost nothing.
+        Requests of active programs wait and are served. Most new programs are refused
+        immediately, before any work was spent on them.
         """
 
         async def main():
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_share_allocator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_share_allocator.py
@@ -1,4 +1,4 @@
-"""Shares of the rates, as hosts come, go and are cut off."""
+"""Tests of the allocation of shares as hosts start, stop and are partitioned."""
 
 import asyncio
 import json
@@ -18,14 +18,14 @@
 
 
 class FakeRateLimiter:
-    """Holds the share that a host uses."""
+    """Stand-in for the rate limiter that stores the share in use at a host."""
 
     def __init__(self):
         self.share = 0.0
 
 
 class Hosts:
-    """Keepers of several hosts that follow the row."""
+    """Share allocators of several hosts that read one row of shares."""
 
     def __init__(self, store, log):
         self.store, self.log = store, log
@@ -50,14 +50,14 @@
         del self.rates[ip]
 
     async def follow(self, allocator):
-        """Hand the row over as a watch does."""
+        """Pass on the row of shares at intervals, as a watch of the store does."""
         while True:
             for place, row in self.store.rows.range("fleet", "", KEY, KEY + "\0"):
                 allocator.apply_row(StoredRow(RowKey(*place), row.value, row.version))
             await asyncio.sleep(0.1)
 
     async def run(self, seconds):
-        """Let time pass and note the most that is ever in use."""
+        """Let time pass and record the largest total share in use."""
         for _ in range(int(seconds / 0.05)):
             await asyncio.sleep(0.05)
             self.max_total_share = max(
@@ -66,12 +66,12 @@
 
 
 def peer(ip):
-    """Return a host; three zones in turn."""
+    """Return a host, in one of three zones by its number."""
     return Peer(ip, 1, f"zone-{int(ip[1:]) % 3}", "boot")
 
 
 class SerializedStore:
-    """A store whose empty part takes one transaction after the other.
+    """A store that commits the transactions of one partition one by one.
 
     Attributes
     ----------
@@ -105,7 +105,7 @@
 
 class TestManyHosts:
     def test_all_shares_are_allocated_soon_after_a_fleet_starts(self, store, log):
-        """Guards against 195 hosts writing one row while rates are nobody's."""
+        """Guards against write conflicts of 195 hosts that delay the allocation."""
 
         async def main():
             narrow = SerializedStore(store)
@@ -126,7 +126,7 @@
         assert narrow.n_commits - n_start <= 3 * MAX_HOLDERS
 
     def test_host_stops_using_an_expired_share(self, store, log, monkeypatch):
-        """Guards against a share that two hosts use after one was cut off for long."""
+        """Guards against two users of one share after a long partition of a host."""
         monkeypatch.setattr(ShareAllocator, "_plan_slots", lambda *_: frozenset())
 
         async def main():
@@ -163,9 +163,10 @@
 
 class TestShares:
     def test_only_some_hosts_of_a_large_fleet_hold_shares(self, store, log):
-        """With a share at each of 69 hosts, tokens would be handed on by all of them
-        to all others. Some hold shares, as many in each zone: a zone that is cut off
-        goes on with its part.
+        """Guards against transfers of tokens from every host to every other one.
+
+        Only some of 69 hosts hold shares, the same number in each zone, so that a
+        partitioned zone continues with its part of the rates.
         """
 
         async def main():
@@ -223,10 +224,10 @@
         assert run_paused(main()) == pytest.approx(1.0)
 
     def test_released_slot_is_not_used_after_a_lost_answer(self, store, log):
-        """A host gives slots up and the answer to its write is lost.
+        """Guards against two users of one slot after a lost answer of the store.
 
-        The write may take effect at any time, and another host takes the slots then:
-        both would use them.
+        A host releases slots and the answer to its write is lost. The write may take
+        effect at any time, and another host may then acquire the slots.
         """
 
         async def main():
@@ -252,7 +253,7 @@
 
     @pytest.mark.parametrize("seed", range(10))
     def test_total_share_never_exceeds_one(self, store, log, seed):
-        """Hosts are killed, started and added while the store fails in all its ways."""
+        """Hosts are killed and started while the store fails in several ways."""
         rng = random.Random(seed)
 
         async def main():
