--- a/packages/swifttide_core/src/swifttide_core/budgets/_lending_right.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/_lending_state.py
@@ -8,12 +8,12 @@
 
 from dataclasses import dataclass
 
-MIN_WAIT_MS = 1_200
+MIN_LENDING_DELAY_MS = 1_200
 """From a host's last record until it may lend, at least: four records, and more than a
 process that was killed needs to be back. New programs are refused for so long at the
 start of each outage."""
 
-MEMORY_MS = 7_200_000
+LOAN_RETENTION_MS = 7_200_000
 """For so long what was lent may still count: as long as a program's account is kept."""
 
 
@@ -41,8 +41,8 @@
     closed: bool = False
     released: tuple[str, ...] = ()
 
-    def barred_after(self, now_ms: int) -> int:
+    def successor_barred_until(self, now_ms: int) -> int:
         """Return until when the host's successor may not lend."""
         if self.closed or now_ms - self.told_ms < self.wait_ms:
             return self.barred_until_ms
-        return max(self.barred_until_ms, now_ms + MEMORY_MS)
+        return max(self.barred_until_ms, now_ms + LOAN_RETENTION_MS)
--- a/packages/swifttide_core/src/swifttide_core/budgets/_outage_slots.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/_outage_slots.py
@@ -32,7 +32,7 @@
     own: frozenset[int],
     others: Iterable[frozenset[int]],
     n_hosts: int,
-    may_give_up: bool,
+    may_release: bool,
 ) -> frozenset[int]:
     """Return the slots that a host should own.
 
@@ -50,6 +50,6 @@
     taken = frozenset().union(*others)
     fair = -(-N_SLOTS // max(1, n_hosts))
     if len(own) > fair:
-        return frozenset(sorted(own)[:fair]) if may_give_up else own
+        return frozenset(sorted(own)[:fair]) if may_release else own
     free = sorted(frozenset(range(N_SLOTS)) - taken - own)
     return own | frozenset(free[: fair - len(own)])
--- a/packages/swifttide_core/src/swifttide_core/budgets/_program_account.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/_program_account.py
@@ -19,16 +19,16 @@
 
 from dataclasses import dataclass, replace
 
-SHARE_OF_REST = 0.5
+GRANT_FRACTION = 0.5
 """Part of what is left that one host takes at once."""
 
-HELD_BACK = 0.25
+RESERVE_FRACTION = 0.25
 """Part of a budget that is held back, at most."""
 
-MIN_ROW_TURNS = 4
+MIN_GRANTABLE_TURNS = 4
 """Turns whose most is never held back."""
 
-MIN_TURNS = 2
+MIN_GRANT_TURNS = 2
 """Turns for which a host takes tokens at least, if there are as many."""
 
 
@@ -57,7 +57,7 @@
     held: int = 0
 
     @classmethod
-    def open(cls, budget: int, most: int) -> "ProgramAccount":
+    def open(cls, budget: int, max_turn_tokens: int) -> "ProgramAccount":
         """Return the account of a program whose first turn generates so much at most.
 
         Parameters
@@ -66,23 +66,25 @@
         most : int
             Tokens that one turn may generate.
         """
-        return cls(budget, held=held_back(budget, most))
+        return cls(budget, held=outage_reserve(budget, max_turn_tokens))
 
     @property
-    def is_held(self) -> bool:
+    def has_reserve(self) -> bool:
         """Whether the owner of the slot may lend a part of the budget."""
         return bool(self.held) and not self.released
 
     @property
     def grantable(self) -> int:
         """Tokens that may be granted in all without asking the owner of the slot."""
-        return self.budget - self.held if self.is_held else self.budget
+        return self.budget - self.held if self.has_reserve else self.budget
 
-    def forfeited(self) -> "ProgramAccount":
+    def with_reserve_charged(self) -> "ProgramAccount":
         """Return the account with what is held back charged as if it had been lent."""
         return replace(self, granted=self.granted + self.held, released=True)
 
-    def charged(self, tokens: int, holders: tuple[str, ...]) -> "ProgramAccount":
+    def with_loans_charged(
+        self, tokens: int, holders: tuple[str, ...]
+    ) -> "ProgramAccount":
         """Return the account after tokens were lent while it couldn't be written.
 
         Beyond what may be granted without the owner, the owner lends no more.
@@ -105,7 +107,7 @@
     account: ProgramAccount
 
 
-def held_back(budget: int, most: int) -> int:
+def outage_reserve(budget: int, max_turn_tokens: int) -> int:
     """Return what of a budget is kept for outages of the store.
 
     Parameters
@@ -114,7 +116,13 @@
     most : int
         Tokens that one turn may generate.
     """
-    return max(0, min(int(budget * HELD_BACK), budget - MIN_ROW_TURNS * most))
+    return max(
+        0,
+        min(
+            int(budget * RESERVE_FRACTION),
+            budget - MIN_GRANTABLE_TURNS * max_turn_tokens,
+        ),
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,7 +133,7 @@
 
 
 def grant_tokens(
-    account: ProgramAccount, host: str, missing: int, most: int
+    account: ProgramAccount, host: str, missing: int, max_turn_tokens: int
 ) -> Granted | Exhausted:
     """Decide what a host gets of a program's budget.
 
@@ -142,9 +150,9 @@
     rest = account.grantable - account.granted
     if rest < missing:
         return Exhausted(account)
-    wanted = max(MIN_TURNS * most, int(rest * SHARE_OF_REST))
+    wanted = max(MIN_GRANT_TURNS * max_turn_tokens, int(rest * GRANT_FRACTION))
     # One turn's most stays: a host that is lost takes what it holds along.
-    tokens = max(missing, min(wanted, rest - most))
+    tokens = max(missing, min(wanted, rest - max_turn_tokens))
     holders = account.holders
     if host not in holders:
         holders = (*holders, host)
--- a/packages/swifttide_core/src/swifttide_core/budgets/_token_pool.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/_token_pool.py
@@ -17,21 +17,21 @@
         """Add tokens that were granted."""
         self.free += tokens
 
-    def reserve(self, most: int) -> bool:
+    def reserve(self, max_tokens: int) -> bool:
         """Set aside the most that a turn may generate; return whether it was there."""
-        if self.free < most:
+        if self.free < max_tokens:
             return False
-        self.free -= most
-        self.reserved += most
+        self.free -= max_tokens
+        self.reserved += max_tokens
         return True
 
-    def settle(self, most: int, generated: int) -> None:
+    def settle(self, max_tokens: int, generated: int) -> None:
         """Return what a turn that had reserved ``most`` did not generate.
 
         A turn that generated more than it had said takes the rest from the pool.
         """
-        self.reserved -= most
-        self.free += most - generated
+        self.reserved -= max_tokens
+        self.free += max_tokens - generated
 
     def withdraw(self) -> int:
         """Take out all free tokens, to give them back to the program."""
--- a/packages/swifttide_core/src/swifttide_core/budgets/tests/test_budgets.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/tests/test_budgets.py
@@ -12,7 +12,7 @@
 
 
 class TestGrants:
-    def test_host_takes_two_turns_or_half_of_the_rest(self):
+    def test_host_gets_two_turns_or_half_of_the_remainder(self):
         match grant_tokens(ProgramAccount.open(1000, 30), "h1", 30, 30):
             case Granted(tokens, account):
                 assert tokens == 375
@@ -21,7 +21,7 @@
             case Granted(tokens, _):
                 assert tokens == 60
 
-    def test_one_turn_stays_for_another_host(self):
+    def test_one_turn_is_left_for_another_host(self):
         match grant_tokens(ProgramAccount(60), "h1", 30, 30):
             case Granted(tokens, _):
                 assert tokens == 30
@@ -32,15 +32,15 @@
     @pytest.mark.parametrize(
         "budget, held", [(30, 0), (120, 0), (135, 15), (160, 40), (1000, 250)]
     )
-    def test_four_turns_are_never_held_back(self, budget, held):
+    def test_four_turns_are_never_reserved_for_outages(self, budget, held):
         assert ProgramAccount.open(budget, 30).held == held
 
-    def test_forfeited_is_charged(self):
+    def test_forfeited_reserve_is_charged(self):
         account = ProgramAccount(1000, 750, ("h1",), held=250)
-        assert account.forfeited().granted == 1000
-        assert not account.forfeited().is_held
+        assert account.with_reserve_charged().granted == 1000
+        assert not account.with_reserve_charged().has_reserve
 
-    def test_never_more_than_the_rest(self):
+    def test_grant_does_not_exceed_the_remainder(self):
         account = ProgramAccount(100, 60, ("h1",), released=True)
         match grant_tokens(account, "h2", 30, 30):
             case Granted(tokens, account):
@@ -48,23 +48,23 @@
                 assert account.granted == 90
                 assert account.holders == ("h1", "h2")
 
-    def test_last_quarter_waits_for_the_owner_of_the_slot(self):
+    def test_reserve_is_not_granted_without_the_slot_owner(self):
         account = ProgramAccount(100, 60, ("h1",), held=25)
         assert grant_tokens(account, "h2", 30, 30) == Exhausted(account)
         assert isinstance(grant_tokens(account, "h2", 15, 15), Granted)
 
-    def test_lent_beyond_the_grantable_leaves_nothing_to_lend(self):
+    def test_loans_beyond_the_grantable_release_the_reserve(self):
         account = ProgramAccount(100, 60, ("h1",), held=25)
-        assert not account.charged(15, ("h2",)).released
-        assert account.charged(16, ("h2",)).released
-        assert account.charged(16, ("h2",)).holders == ("h1", "h2")
+        assert not account.with_loans_charged(15, ("h2",)).released
+        assert account.with_loans_charged(16, ("h2",)).released
+        assert account.with_loans_charged(16, ("h2",)).holders == ("h1", "h2")
 
-    def test_rest_that_is_too_small(self):
+    def test_remainder_below_one_turn_is_exhausted(self):
         account = ProgramAccount(100, 80, ("h1",))
         assert grant_tokens(account, "h1", 30, 30) == Exhausted(account)
 
     @pytest.mark.parametrize("budget", [1, 29, 30, 31, 90, 858, 10_000])
-    def test_program_that_loops_gets_its_budget_at_most(self, budget):
+    def test_program_in_a_loop_gets_at_most_its_budget(self, budget):
         account, total = ProgramAccount.open(budget, 30), 0
         while isinstance(found := grant_tokens(account, "h1", 30, 30), Granted):
             account = found.account
@@ -73,7 +73,7 @@
 
 
 class TestTokenPool:
-    def test_turn_returns_what_it_did_not_generate(self):
+    def test_turn_returns_unused_tokens(self):
         pool = TokenPool()
         pool.add(60)
         assert pool.reserve(30)
@@ -82,7 +82,7 @@
         pool.settle(30, 10)
         assert pool.free == 20
 
-    def test_withdrawal_leaves_what_is_reserved(self):
+    def test_withdrawal_keeps_reserved_tokens(self):
         pool = TokenPool()
         pool.add(60)
         pool.reserve(30)
@@ -90,7 +90,7 @@
         pool.settle(30, 10)
         assert pool.free == 20
 
-    def test_turn_that_generated_more_than_it_said(self):
+    def test_turn_that_exceeds_its_reservation(self):
         pool = TokenPool()
         pool.add(60)
         pool.reserve(30)
--- a/packages/swifttide_core/src/swifttide_core/budgets/tests/test_lending.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/tests/test_lending.py
@@ -5,10 +5,10 @@
 import pytest
 
 from swifttide_core.budgets import (
-    MIN_WAIT_MS,
+    MIN_LENDING_DELAY_MS,
     N_SLOTS,
     LendingState,
-    TurnSizes,
+    TurnSizeEstimate,
     plan_slots,
     slot_of,
 )
@@ -18,13 +18,13 @@
     def test_first_host_takes_all(self):
         assert plan_slots(frozenset(), [], 1, True) == frozenset(range(N_SLOTS))
 
-    def test_host_gives_up_what_is_more_than_its_part(self):
+    def test_host_releases_slots_beyond_its_fair_part(self):
         own = frozenset(range(N_SLOTS))
         kept = plan_slots(own, [], 4, True)
         assert len(kept) == N_SLOTS // 4
         assert kept < own
 
-    def test_host_that_has_lent_gives_up_nothing(self):
+    def test_host_with_loans_releases_no_slot(self):
         own = frozenset(range(N_SLOTS))
         assert plan_slots(own, [], 4, False) == own
 
@@ -43,7 +43,7 @@
                 frozenset().union(*slots.values())
             )
 
-    def test_hosts_end_with_even_parts(self):
+    def test_slots_are_divided_evenly(self):
         slots = {h: frozenset() for h in range(11)}
         for _ in range(3):
             for host in slots:
@@ -57,29 +57,41 @@
 
 
 class TestLendingState:
-    def test_killed_before_it_may_have_lent(self):
-        assert LendingState(1000, MIN_WAIT_MS).barred_after(1000 + MIN_WAIT_MS - 1) == 0
+    def test_successor_may_lend_if_predecessor_had_not_begun(self):
+        assert (
+            LendingState(1000, MIN_LENDING_DELAY_MS).successor_barred_until(
+                1000 + MIN_LENDING_DELAY_MS - 1
+            )
+            == 0
+        )
 
-    def test_killed_when_it_may_have_lent(self):
-        assert LendingState(1000, MIN_WAIT_MS).barred_after(1000 + MIN_WAIT_MS) > 1000
+    def test_successor_is_barred_if_predecessor_may_have_lent(self):
+        assert (
+            LendingState(1000, MIN_LENDING_DELAY_MS).successor_barred_until(
+                1000 + MIN_LENDING_DELAY_MS
+            )
+            > 1000
+        )
 
-    def test_stopped_as_planned(self):
-        assert LendingState(1000, closed=True).barred_after(99_000) == 0
+    def test_successor_may_lend_after_planned_stop(self):
+        assert LendingState(1000, closed=True).successor_barred_until(99_000) == 0
 
-    def test_bar_outlives_another_restart(self):
+    def test_bar_persists_over_another_restart(self):
         assert (
-            LendingState(1000, MIN_WAIT_MS, barred_until_ms=70_000).barred_after(1001)
+            LendingState(
+                1000, MIN_LENDING_DELAY_MS, barred_until_ms=70_000
+            ).successor_barred_until(1001)
             == 70_000
         )
 
 
 class TestTurnSizes:
-    def test_most_before_any_turn_is_known(self):
-        assert TurnSizes().usual(286) == 286
+    def test_reservation_is_the_maximum_before_any_turn(self):
+        assert TurnSizeEstimate().reservation_size(286) == 286
 
-    def test_follows_what_turns_generate(self):
-        sizes = TurnSizes()
+    def test_reservation_follows_generated_tokens(self):
+        sizes = TurnSizeEstimate()
         for _ in range(50):
-            sizes.note(60)
-        assert sizes.usual(286) == 150
-        assert sizes.usual(100) == 100
+            sizes.update(60)
+        assert sizes.reservation_size(286) == 150
+        assert sizes.reservation_size(100) == 100
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_account_rows.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_account_rows.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from swifttide_core.budgets import ProgramAccount, held_back
+from swifttide_core.budgets import ProgramAccount, outage_reserve
 from swifttide_daemon.gateway.store._shared_store import RowKey
 
 TABLE = "budgets"
@@ -42,7 +42,7 @@
 def decode_account(value: bytes) -> tuple[ProgramAccount, str]:
     """Return an account and the mark of the transaction that wrote it."""
     row = msgspec.json.decode(value, type=_AccountRow)
-    held = held_back(row.budget, 0) if row.held is None else row.held
+    held = outage_reserve(row.budget, 0) if row.held is None else row.held
     holders = tuple(row.holders)
     account = ProgramAccount(row.budget, row.granted, holders, row.released, held)
     return account, row.mark
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_budget_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_budget_keeper.py
@@ -10,7 +10,7 @@
     Granted,
     ProgramAccount,
     ReleaseVerdict,
-    TurnSizes,
+    TurnSizeEstimate,
     grant_tokens,
 )
 from swifttide_daemon.gateway.budgets._account_rows import (
@@ -106,7 +106,7 @@
         self._reaper = reaper
         self._log = log
         self._programs: dict[str, KnownProgram] = {}
-        self._sizes = TurnSizes()
+        self._sizes = TurnSizeEstimate()
 
     async def reserve(
         self, request_id: str, customer: str, program: str, budget: int, most: int
@@ -137,7 +137,7 @@
         Only what a turn usually generates is set aside, so that the tokens at hand
         carry more turns.
         """
-        need = self._sizes.usual(most)
+        need = self._sizes.reservation_size(most)
         if known.pool.free < need:
             ask = AskTokens(key, budget, need, most, self._host)
             known.pool.add(await self._ask_lender(ask))
@@ -186,7 +186,7 @@
     def settle(self, reservation: Reservation, generated: int) -> None:
         """Return what a turn didn't generate."""
         if generated:
-            self._sizes.note(generated)
+            self._sizes.update(generated)
         reservation.program.pool.settle(reservation.most, generated)
 
     def withdraw(self, key: str, asker: str) -> HandedTokens:
@@ -212,7 +212,7 @@
             if not await self._read(key, known):
                 return None
             account = known.account or ProgramAccount(loan.budget, held=loan.held)
-            account = account.charged(loan.lent, tuple(loan.holders))
+            account = account.with_loans_charged(loan.lent, tuple(loan.holders))
             try:
                 if await self._write(key, known, account):
                     return account
@@ -267,7 +267,7 @@
         Where nobody can say that it wasn't lent, it is charged as if it had been: the
         row then tells the truth for good.
         """
-        if not account.is_held:
+        if not account.has_reserve:
             self._log.info(
                 "budget_spent",
                 request_id=request_id,
@@ -287,7 +287,7 @@
                     tokens=account.held,
                     granted=account.granted,
                 )
-                await self._write(key, known, account.forfeited())
+                await self._write(key, known, account.with_reserve_charged())
             case ReleaseVerdict.LATER:
                 self._log.info("budget_held_back", request_id=request_id, program=key)
                 raise Refusal(503, "budget_held_back", BUSY_RETRY_SECONDS)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_lending_record.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_lending_record.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from swifttide_core.budgets import MIN_WAIT_MS, LendingState
+from swifttide_core.budgets import MIN_LENDING_DELAY_MS, LendingState
 from swifttide_daemon.gateway.budgets._token_lender import TokenLender
 from swifttide_daemon.gateway.store._shared_store import (
     Applied,
@@ -150,7 +150,7 @@
             for row in found.rows:
                 self._version = row.version
                 before = _decode(row)
-                barred = before.barred_after(found.now_ms)
+                barred = before.successor_barred_until(found.now_ms)
                 self._barred_until_ms = max(self._barred_until_ms, barred)
                 self._lender().remember(before.released)
         self._is_known = True
@@ -171,7 +171,9 @@
             told_ms = self._now_ms
             # Noted before it is sent: it may take effect though its answer is lost.
             self._told_ms = told_ms
-            self._wait_ms = max(MIN_WAIT_MS, int(1000 * WAIT_PERIODS * self._period()))
+            self._wait_ms = max(
+                MIN_LENDING_DELAY_MS, int(1000 * WAIT_PERIODS * self._period())
+            )
             tx = Transaction(
                 conditions=(Condition(self._place, self._version),),
                 puts=(Put(self._place, msgspec.json.encode(self._state(told_ms))),),
@@ -191,7 +193,7 @@
         released = lender.released()
         barred = self._barred_until_ms
         if lender.has_open() or len(released) > MAX_RELEASED:
-            barred = LendingState(0).barred_after(told_ms)
+            barred = LendingState(0).successor_barred_until(told_ms)
         closed = self._closed or not (self._owns_slots() or lender.has_open())
         return LendingState(
             told_ms, self._wait_ms, barred, closed, released[:MAX_RELEASED]
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_token_lender.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_token_lender.py
@@ -24,7 +24,7 @@
     N_SLOTS,
     ProgramAccount,
     ReleaseVerdict,
-    held_back,
+    outage_reserve,
     slot_of,
 )
 from swifttide_daemon.gateway.budgets._budget_keeper import Collect
@@ -158,7 +158,7 @@
         if len(self._loans) >= MAX_LOANS:
             self._log.warning("too_many_loans", program=key)
             return None
-        held = held_back(ask.budget, ask.most)
+        held = outage_reserve(ask.budget, ask.most)
         loan = self._loans[key] = Loan(ask.budget, held, held + ask.most)
         return loan
 
