--- a/packages/swifttide_core/src/swifttide_core/budgets/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/__init__.py
@@ -1,4 +1,4 @@
-"""Token budgets of programs over all hosts, without I/O."""
+"""Rules of the token budgets that all hosts share for each program, without I/O."""
 
 from swifttide_core.budgets._lending_state import MIN_LENDING_DELAY_MS, LendingState
 from swifttide_core.budgets._outage_slots import N_SLOTS, plan_slots, slot_of
--- a/packages/swifttide_core/src/swifttide_core/budgets/_lending_state.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/_lending_state.py
@@ -1,38 +1,43 @@
-"""Whether a host may lend tokens that no row has.
+"""Right of a host process to lend tokens that are not recorded in the store.
 
-A host that dies takes the memory of what it lent along. Its successor may lend only if
-nothing can have been lent before it. Each host tells the store every while that it is
-there, and lends only when it has not told so for longer than its record says. A
-successor that finds a younger record knows that its predecessor had not begun to lend.
+Decides until when the successor of a host process may not lend, from the last record
+that the predecessor wrote to the store. Loans are kept in memory only, so a process
+that dies loses the record of them, and its successor may lend only if its predecessor
+cannot have lent anything. Otherwise the same tokens could be lent twice.
+
+Each host renews its record periodically, and lends only when it could not renew it for
+longer than the delay stated in the record. A successor that finds a record younger than
+this delay therefore knows that its predecessor had not begun to lend.
 """
 
 from dataclasses import dataclass
 
 MIN_LENDING_DELAY_MS = 1_200
-"""From a host's last record until it may lend, at least: four records, and more than a
-process that was killed needs to be back. New programs are refused for so long at the
-start of each outage."""
+"""Smallest delay from the last record of a host until it may lend. It covers four
+renewals, and is longer than a killed process needs to restart. New programs are refused
+for this time at the start of each outage."""
 
 LOAN_RETENTION_MS = 7_200_000
-"""For so long what was lent may still count: as long as a program's account is kept."""
+"""Time for which a loan may be in use: as long as the account of a program is kept."""
 
 
 @dataclass(frozen=True, slots=True)
 class LendingState:
-    """What a host's row says, by the store's clock in milliseconds.
+    """Lending record of a host in the store; times are of the store's clock.
 
     Parameters
     ----------
     told_ms : int
-        When the host wrote it.
+        Time at which the host wrote the record, in milliseconds.
     wait_ms : int
-        From this record until the host may lend.
+        Delay after this record before which the host does not lend, in milliseconds.
     barred_until_ms : int
-        A successor may not lend before then.
+        Time before which a successor may not lend, in milliseconds.
     closed : bool
-        Whether the host stopped as planned, and lends nothing after this record.
+        Whether the host stopped as planned and lends nothing after this record.
     released : tuple of str
-        Keys of programs to which nothing may be lent: their accounts have it all.
+        Keys of programs to which nothing may be lent, because their accounts may grant
+        the whole budget.
     """
 
     told_ms: int
@@ -42,7 +47,7 @@
     released: tuple[str, ...] = ()
 
     def successor_barred_until(self, now_ms: int) -> int:
-        """Return until when the host's successor may not lend."""
+        """Return the time before which a successor that starts now may not lend."""
         if self.closed or now_ms - self.told_ms < self.wait_ms:
             return self.barred_until_ms
         return max(self.barred_until_ms, now_ms + LOAN_RETENTION_MS)
--- a/packages/swifttide_core/src/swifttide_core/budgets/_outage_slots.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/_outage_slots.py
@@ -1,20 +1,24 @@
-"""Which host may hand out a program's tokens while the store is away.
+"""Allocation of program slots, whose owners lend tokens during outages of the store.
 
-Load pattern: the store is down for all hosts, and new programs go on arriving.
+Decides which slots a host should own, from the slots of all hosts and the number of
+hosts. It serves a load in which the store is down for all hosts while new programs
+continue to arrive.
 
-Without it: no host may let a new program in, as any other might do the same for the
-same program, and a program that loops would get its budget once at each of them.
+Without it, no host could admit a new program during an outage, because any other host
+might do the same for the same program, and a program in an endless loop would get its
+budget once at each host.
 
-Grounds: programs are spread over slots by their key, and each slot has one owner in
-the store's rows while the store is well. A slot changes hands only by being given up
-first, so two hosts never hold it at once; one whose owner has vanished stays without
-an owner for as long as what that owner lent could still be in use.
+Programs are mapped to slots by their keys, and while the store is available its rows
+assign each slot to one owner. A slot is released before another host acquires it, so
+that two hosts never own it at the same time. A slot whose owner has vanished remains
+without an owner for as long as tokens lent by that owner may be in use.
 """
 
 from collections.abc import Iterable
 
 N_SLOTS = 64
-"""Six or so a host today. A row lists them all, some 200 bytes."""
+"""Number of slots: some six per host. The row that lists all of them takes some 200
+bytes."""
 
 
 def slot_of(program_key: str) -> int:
@@ -23,7 +27,7 @@
     Parameters
     ----------
     program_key : str
-        A digest in hexadecimal.
+        Digest in hexadecimal notation.
     """
     return int(program_key[:4], 16) % N_SLOTS
 
@@ -39,13 +43,13 @@
     Parameters
     ----------
     own : frozenset of int
-        Slots that it owns now.
+        Slots that this host owns now.
     others : iterable of frozenset of int
-        Slots of each other host, of those that have vanished lately too.
+        Slots of each other host, including hosts that vanished recently.
     n_hosts : int
-        Hosts that are there, this one included.
-    may_give_up : bool
-        Whether nothing was lent from the own slots: then others may go on with them.
+        Number of live hosts, including this one.
+    may_release : bool
+        Whether slots may be released, as no tokens are lent from the own slots.
     """
     taken = frozenset().union(*others)
     fair = -(-N_SLOTS // max(1, n_hosts))
--- a/packages/swifttide_core/src/swifttide_core/budgets/_program_account.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/_program_account.py
@@ -1,53 +1,55 @@
-"""The account of a program's token budget that all hosts share.
-
-Load pattern: turns of one program arrive at several hosts, some at once, and some
-programs loop until they are stopped.
-
-Without it: each host would let a looping program spend its budget anew, and engines
-would work for nobody.
-
-Grounds: a host takes half of what is left, so that a program which stays at one host
-writes once or twice in its life, and one that moves still finds tokens elsewhere. At
-least two turns' most are taken, as a turn rarely comes alone.
-
-A part of a large budget is held back for outages of the store: the owner of the
-program's slot lends it then, without a row. What rows grant holds four turns' most or
-the whole budget, so that few programs need the rest while the store is well; it is
-granted once the owner has said that it won't lend it, and charged as if it had been
-lent where nobody can say so.
+"""Account of a program's token budget, shared by all hosts.
+
+Decides how many tokens of the budget a host is granted, from the tokens granted so far
+and the needs of the turn at hand. It serves a load in which turns of one program arrive
+at several hosts, some of them concurrently, and some programs loop until they are
+stopped. Without it, each host would let a program in an endless loop spend the budget
+anew, and engines would do useless work.
+
+A grant is half of the remaining tokens. A program that stays at one host therefore
+causes only one or two writes in its lifetime, and a program that moves finds tokens for
+other hosts. A grant covers at least two turns of maximum size if possible, because a
+turn rarely comes alone.
+
+A part of a large budget is reserved for outages of the store. During an outage, the
+owner of the program's slot lends this reserve without a row in the store. The remainder
+covers four turns of maximum size or the whole budget, so that few programs need the
+reserve while the store is available. The reserve is granted once the slot owner has
+confirmed that it will not lend it. If no host can confirm this, the reserve is charged
+as if it had been lent.
 """
 
 from dataclasses import dataclass, replace
 
 GRANT_FRACTION = 0.5
-"""Part of what is left that one host takes at once."""
+"""Fraction of the remaining tokens in one grant."""
 
 RESERVE_FRACTION = 0.25
-"""Part of a budget that is held back, at most."""
+"""Largest fraction of a budget that is reserved for outages of the store."""
 
 MIN_GRANTABLE_TURNS = 4
-"""Turns whose most is never held back."""
+"""Number of turns of maximum size that are never part of the reserve."""
 
 MIN_GRANT_TURNS = 2
-"""Turns for which a host takes tokens at least, if there are as many."""
+"""Smallest grant in turns of maximum size, if as many tokens remain."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProgramAccount:
-    """What has been granted of one program's budget.
+    """Tokens granted of one program's budget.
 
     Parameters
     ----------
     budget : int
         Tokens that all turns of the program may generate.
     granted : int
-        Tokens that hosts have taken.
+        Tokens granted to hosts.
     holders : tuple of str
-        Hosts that took tokens; those that may have some left.
+        Hosts that were granted tokens and may have some left.
     released : bool
-        Whether nothing is held back any more.
+        Whether the slot owner may no longer lend the reserve.
     held : int
-        Tokens that the owner of the program's slot may lend.
+        Size of the reserve that the owner of the program's slot may lend, in tokens.
     """
 
     budget: int
@@ -58,62 +60,65 @@
 
     @classmethod
     def open(cls, budget: int, max_turn_tokens: int) -> "ProgramAccount":
-        """Return the account of a program whose first turn generates so much at most.
+        """Return the account of a new program.
 
         Parameters
         ----------
         budget : int
-        most : int
+            Tokens that all turns of the program may generate.
+        max_turn_tokens : int
             Tokens that one turn may generate.
         """
         return cls(budget, held=outage_reserve(budget, max_turn_tokens))
 
     @property
     def has_reserve(self) -> bool:
-        """Whether the owner of the slot may lend a part of the budget."""
+        """Whether the slot owner may lend a part of the budget."""
         return bool(self.held) and not self.released
 
     @property
     def grantable(self) -> int:
-        """Tokens that may be granted in all without asking the owner of the slot."""
+        """Total number of tokens that may be granted without asking the slot owner."""
         return self.budget - self.held if self.has_reserve else self.budget
 
     def with_reserve_charged(self) -> "ProgramAccount":
-        """Return the account with what is held back charged as if it had been lent."""
+        """Return the account with its reserve charged as if it had been lent."""
         return replace(self, granted=self.granted + self.held, released=True)
 
     def with_loans_charged(
         self, tokens: int, holders: tuple[str, ...]
     ) -> "ProgramAccount":
-        """Return the account after tokens were lent while it couldn't be written.
+        """Return the account with loans charged that were made during an outage.
 
-        Beyond what may be granted without the owner, the owner lends no more.
+        If the total exceeds the grantable tokens, the reserve counts as released, so
+        that the slot owner lends no more of it.
         """
-        more = tuple(h for h in holders if h not in self.holders)
+        new_holders = tuple(h for h in holders if h not in self.holders)
         granted = self.granted + tokens
         return replace(
             self,
             granted=granted,
-            holders=self.holders + more,
+            holders=self.holders + new_holders,
             released=self.released or granted > self.grantable,
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """Tokens for a host, and the account to write first."""
+    """Tokens granted to a host, and the account to write before they are spent."""
 
     tokens: int
     account: ProgramAccount
 
 
 def outage_reserve(budget: int, max_turn_tokens: int) -> int:
-    """Return what of a budget is kept for outages of the store.
+    """Return the size of the reserve for outages of the store, in tokens.
 
     Parameters
     ----------
     budget : int
-    most : int
+        Tokens that all turns of the program may generate.
+    max_turn_tokens : int
         Tokens that one turn may generate.
     """
     return max(
@@ -127,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exhausted:
-    """The budget, or what may be granted of it, doesn't hold one more turn."""
+    """The grantable tokens do not suffice for the turn at hand."""
 
     account: ProgramAccount
 
@@ -135,24 +140,24 @@
 def grant_tokens(
     account: ProgramAccount, host: str, missing: int, max_turn_tokens: int
 ) -> Granted | Exhausted:
-    """Decide what a host gets of a program's budget.
+    """Grant tokens of a program's budget to a host.
 
     Parameters
     ----------
     account : ProgramAccount
     host : str
-        Who asks.
+        Host that requests the tokens.
     missing : int
         Tokens that the host lacks for the turn at hand.
-    most : int
+    max_turn_tokens : int
         Tokens that one turn may generate.
     """
-    rest = account.grantable - account.granted
-    if rest < missing:
+    remaining = account.grantable - account.granted
+    if remaining < missing:
         return Exhausted(account)
-    wanted = max(MIN_GRANT_TURNS * max_turn_tokens, int(rest * GRANT_FRACTION))
-    # One turn's most stays: a host that is lost takes what it holds along.
-    tokens = max(missing, min(wanted, rest - max_turn_tokens))
+    wanted = max(MIN_GRANT_TURNS * max_turn_tokens, int(remaining * GRANT_FRACTION))
+    # Tokens for one turn are left, because the tokens of a host that fails are lost.
+    tokens = max(missing, min(wanted, remaining - max_turn_tokens))
     holders = account.holders
     if host not in holders:
         holders = (*holders, host)
--- a/packages/swifttide_core/src/swifttide_core/budgets/_release_verdict.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/_release_verdict.py
@@ -1,16 +1,19 @@
-"""What the owner of a program's slot says of the tokens that it may lend."""
+"""Answer of a slot owner about the reserve of a program's budget."""
 
 from enum import StrEnum
 
 
 class ReleaseVerdict(StrEnum):
-    """Whether an account may grant what is held back of its budget."""
+    """Whether the account of a program may grant the reserve of its budget.
+
+    The owner of the program's slot may lend the reserve during outages of the store.
+    """
 
     RELEASED = "released"
-    """Nothing was lent, and nothing will be."""
+    """No tokens of the reserve were lent, and none will be."""
 
     DOUBTFUL = "doubtful"
-    """Nobody can say any more whether it was lent."""
+    """It is unknown whether tokens of the reserve were lent."""
 
     LATER = "later"
-    """To be asked again: the owner is busy, or not known yet."""
+    """The owner is busy or not known yet; the question has to be repeated."""
--- a/packages/swifttide_core/src/swifttide_core/budgets/_token_pool.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/_token_pool.py
@@ -1,12 +1,20 @@
-"""Tokens of one program that one host may spend."""
+"""Tokens of one program's budget that are granted to one host."""
 
 
 class TokenPool:
     """Tokens granted to this host for one program and not yet spent.
 
-    A turn reserves the most that it may generate before it is sent, and returns what
-    it did not generate afterwards. A host that dies takes its pool along: those
-    tokens count as spent, so the budget holds whatever had been generated.
+    A turn reserves the largest number of tokens that it may generate before it is sent,
+    and returns the unused ones afterwards. The pool of a host that dies is lost: its
+    tokens count as spent, so that the budget holds whatever had been generated.
+
+    Attributes
+    ----------
+    free : int
+        Tokens that are not reserved; negative after a turn exceeded its reservation by
+        more than was free.
+    reserved : int
+        Tokens reserved for turns in progress.
     """
 
     def __init__(self):
@@ -18,7 +26,7 @@
         self.free += tokens
 
     def reserve(self, max_tokens: int) -> bool:
-        """Set aside the most that a turn may generate; return whether it was there."""
+        """Reserve tokens for a turn; return whether enough of them were free."""
         if self.free < max_tokens:
             return False
         self.free -= max_tokens
@@ -26,15 +34,15 @@
         return True
 
     def settle(self, max_tokens: int, generated: int) -> None:
-        """Return what a turn that had reserved ``most`` did not generate.
+        """Release the reservation of a completed turn and return its unused tokens.
 
-        A turn that generated more than it had said takes the rest from the pool.
+        A turn that generated more than its reservation takes the excess from the pool.
         """
         self.reserved -= max_tokens
         self.free += max_tokens - generated
 
     def withdraw(self) -> int:
-        """Take out all free tokens, to give them back to the program."""
+        """Remove all free tokens and return their number, for use at another host."""
         tokens = max(0, self.free)
         self.free -= tokens
         return tokens
--- a/packages/swifttide_core/src/swifttide_core/budgets/tests/test_budgets.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Grants of a program's tokens."""
+"""Tests of grants of a program's tokens and of their use at a host."""
 
 import pytest
 
--- a/packages/swifttide_core/src/swifttide_core/budgets/tests/test_lending.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/tests/test_lending.py
@@ -1,4 +1,4 @@
-"""Slots of programs, and who may lend from them."""
+"""Tests of program slots, lending records and turn sizes."""
 
 import random
 
@@ -30,7 +30,7 @@
 
     @pytest.mark.parametrize("seed", range(20))
     def test_no_slot_has_two_owners(self, seed):
-        """Hosts come and go, and plan one after the other, as rows make them."""
+        """Hosts plan one at a time, as conditional writes of one row enforce."""
         rng = random.Random(seed)
         slots: dict[int, frozenset[int]] = {}
         for _ in range(200):
