--- a/packages/swifttide_core/src/swifttide_core/budgets/_program_account.py
+++ b/packages/swifttide_core/src/swifttide_core/budgets/_program_account.py
@@ -7,16 +7,16 @@
 anew, and engines would do useless work.
 
 A grant is half of the remaining tokens. A program that stays at one host therefore
-causes only one or two writes in its lifetime, and a program that moves finds tokens for
-other hosts. A grant covers at least two turns of maximum size if possible, because a
-turn rarely comes alone.
+causes only one or two writes in its lifetime, and a program that moves still finds
+tokens at other hosts. A grant covers at least two turns of maximum size if possible,
+because a turn rarely comes alone.
 
 A part of a large budget is reserved for outages of the store. During an outage, the
-owner of the program's slot lends this reserve without a row in the store. The remainder
-covers four turns of maximum size or the whole budget, so that few programs need the
-reserve while the store is available. The reserve is granted once the slot owner has
-confirmed that it will not lend it. If no host can confirm this, the reserve is charged
-as if it had been lent.
+owner of the program's slot lends this reserve without a row in the store. The part
+outside the reserve covers four turns of maximum size or the whole budget, so that few
+programs need the reserve while the store is available. The reserve is granted once the
+slot owner has confirmed that it will not lend it. If no host can confirm this, the
+reserve is charged as if it had been lent.
 """
 
 from dataclasses import dataclass, replace
