--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_share_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_share_allocator.py
@@ -1,16 +1,17 @@
-"""The share that one host has of all customers' rates, and its slots of programs.
-
-The shares of all hosts stand in one row. A host changes only its own entry, under the
-row's version, and never to more than what the others leave. One that lowers its share
-does so before it writes, one that raises it afterwards: the shares in use never add up
-to more than one. Slots are given up and taken in the same way, in the same write.
-
-Load pattern: hundreds of hosts start at the same moment, and each write of the one row
-takes its part of the store some milliseconds.
-
-Without it: every host writes the row, nearly all of them in vain, and those that are to
-hold shares don't get a word in. In a large fleet only hosts that hold something have an
-entry, and only those next in order try to get one.
+"""Allocation of shares of customers' rates and of program slots to hosts.
+
+Decides which share of all customers' rates this host uses and which slots of programs
+it owns, from the entries of all hosts in one row of the shared store and from the hosts
+that are alive. A host changes only its own entry, on condition that the row's version
+is unchanged, and never to more than the other entries leave. A host applies a lower
+share before the write and a higher one after it, so that the shares in use never add up
+to more than one. Slots are released and acquired in the same way, in the same write.
+
+It serves a load in which hundreds of hosts start at the same moment, while each write
+of the row occupies its partition of the store for some milliseconds. If every host
+wrote the row, nearly all writes would conflict, and the hosts that are to hold shares
+would rarely succeed. In a large fleet, therefore, only hosts with a share or slots have
+an entry, and only the next candidates in order try to get one.
 """
 
 import asyncio
@@ -22,7 +23,7 @@
 
 from swifttide_core.budgets import plan_slots
 from swifttide_daemon.gateway.peers._fleet import TABLE, Fleet
-from swifttide_daemon.gateway.rates._rate_keeper import RateKeeper
+from swifttide_daemon.gateway.rates._rate_limiter import RateLimiter
 from swifttide_daemon.gateway.store._shared_store import (
     Applied,
     Condition,
@@ -38,41 +39,41 @@
 
 KEY = "shares"
 
-SETTLE_SECONDS = 0.5
-"""A host that starts waits until no other one was new to it for so long: whoever knows
-nobody takes everything."""
+MEMBERSHIP_SETTLE_SECONDS = 0.5
+"""Time without a newly discovered host after which a starting host considers the fleet
+known. A host that knows no other one would take all shares."""
 
-MAX_SETTLE_SECONDS = 2.0
+MAX_MEMBERSHIP_SETTLE_SECONDS = 2.0
 
 LEASE_MS = 60_000
-"""An entry that isn't renewed for so long is free again. Long against outages of the
-store: whoever is cut off goes on with its share, and one share in ten or more that
-nobody uses is borne by the room that customers' rates have."""
+"""Time without renewal after which an entry expires. It is long compared to outages of
+the store, because a partitioned host continues to use its share. One unused share in
+ten or more is covered by the headroom in customers' rates."""
 
-FORGET_MS = 7_200_000
-"""Slots of a host that has vanished stay its own for so long after its lease: what it
-lent while the store was away may count as long."""
+SLOT_RETENTION_MS = 7_200_000
+"""Time after the expiry of an entry for which its slots remain reserved. Tokens that
+the host lent from them during an outage of the store may be valid for as long."""
 
 RENEW_MS = 20_000
-"""An entry is renewed when it is so old: two renewals may fail."""
+"""Age at which an entry is renewed; two renewals may fail before it expires."""
 
-CHECK_SECONDS = 1.0
-"""Between looks at the shares."""
+CHECK_INTERVAL_SECONDS = 1.0
+"""Mean interval between checks of the shares."""
 
-SPREAD_SECONDS = 0.03
-"""For each host that writes as a fleet starts: over so long, times their number, they
-write their first entries. A transaction takes 5 ms, and each one that comes between
-costs another try."""
+WRITE_SPREAD_SECONDS = 0.03
+"""Time over which first writes are spread when a fleet starts, per writing host. A
+transaction takes 5 ms, and each conflicting one costs another attempt."""
 
 MAX_HOLDERS = 12
-"""Hosts that hold shares of the rates, in larger fleets as many in each zone. With
-fewer, one that is lost costs customers more of their rates for a minute; each more is
-a message to every keeper, five times a second."""
+"""Largest number of hosts with a share of the rates; in larger fleets they are divided
+evenly among the zones. With fewer, the loss of one costs customers a larger part of
+their rates for a minute. Each further one sends a message to every owner host, five
+times per second."""
 
 READ_RETRY_SECONDS = 0.2
-"""Pause before the row is read again while the store is away."""
+"""Delay before the row is read again while the store is unavailable."""
 
-TOLERANCE = 1e-6
+SHARE_TOLERANCE = 1e-6
 
 
 class _Entry(msgspec.Struct, array_like=True):
@@ -81,28 +82,28 @@
     slots: list[int] = []
 
 
-class ShareKeeper:
-    """Keeps this host's entry.
+class ShareAllocator:
+    """Maintains this host's entry in the row of shares.
 
     Parameters
     ----------
     store : SharedStore
     fleet : Fleet
-        A process that starts again at this host's address takes over its
-        predecessor's entry: two can't run at one address.
+        A process that restarts at this host's address takes over the entry of its
+        predecessor, because two processes cannot run at one address.
     rates : RateKeeper
     log : EventLog
-    may_give_up : callable
-        Tells whether nothing was lent from this host's slots.
+    may_release_slots : callable
+        Returns whether no tokens are lent from this host's slots.
     """
 
     def __init__(
         self,
         store: SharedStore,
         fleet: Fleet,
-        rates: RateKeeper,
+        rates: RateLimiter,
         log: EventLog,
-        may_give_up: Callable[[], bool] = lambda: True,
+        may_release_slots: Callable[[], bool] = lambda: True,
     ):
         self._store = store
         self._fleet = fleet
@@ -113,67 +114,67 @@
         self._holders: tuple[str, ...] = ()
         self._version = 0
         self._clock_ahead_ms = 0
-        self._may_give_up = may_give_up
-        self._giving_up: frozenset[int] = frozenset()
+        self._may_release_slots = may_release_slots
+        self._released_slots: frozenset[int] = frozenset()
 
     @property
     def slots(self) -> frozenset[int]:
-        """The slots that this host may use."""
+        """Slots that this host may use; empty once its entry has expired."""
         own = self._entries.get(self._ip)
         if own is None or self._now_ms - own.renewed_ms >= LEASE_MS:
             return frozenset()
-        return frozenset(own.slots) - self._giving_up
+        return frozenset(own.slots) - self._released_slots
 
     def holders(self) -> tuple[str, ...]:
         """Return the addresses of the hosts that hold a share of the rates."""
         return self._holders
 
     def owner_of(self, slot: int) -> str | None:
-        """Return the IP of the host that owns a slot, as far as is known."""
+        """Return the IP of the host that owns a slot by the last known row, or None."""
         owners = (ip for ip, entry in self._entries.items() if slot in entry.slots)
         return next(owners, None)
 
-    def take_row(self, row: StoredRow) -> None:
-        """Take the row of shares."""
+    def apply_row(self, row: StoredRow) -> None:
+        """Apply the row of shares, unless it is older than the known version."""
         if row.version < self._version:
             return
-        self._take(_decode(row.value), row.version)
-        self._note_given_up()
+        self._apply_entries(_decode(row.value), row.version)
+        self._clear_released_slots()
         own = self._entries.get(self._ip)
         if own is not None and not self._rates.share:
-            self._use(own.share)
+            self._set_share(own.share)
 
-    def _take(self, entries, version):
+    def _apply_entries(self, entries, version):
         self._entries, self._version = entries, version
         holders = (ip for ip, entry in entries.items() if entry.share > 0.0)
         self._holders = tuple(sorted(holders))
 
     async def run(self) -> None:
-        """Keep the entry until cancelled."""
+        """Maintain the entry until cancelled."""
         await self._read()
-        # All hosts of a fleet start together: spread out, they conflict less.
+        # Hosts of a fleet start simultaneously; random delays reduce write conflicts.
         if self._ip not in self._entries:
-            await self._settle()
-            await self._pause()
+            await self._wait_for_membership()
+            await self._pause_randomly()
         while True:
             for _ in range(4):
-                if await self._adjust():
+                if await self._update_entry():
                     break
-                await self._pause()
-            await asyncio.sleep(CHECK_SECONDS * random.uniform(0.8, 1.2))
+                await self._pause_randomly()
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
 
-    async def _settle(self):
-        """Wait until the other hosts of a fleet that starts are known."""
+    async def _wait_for_membership(self):
+        """Wait until the other hosts of a starting fleet are known."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + MAX_SETTLE_SECONDS
+        until = loop.time() + MAX_MEMBERSHIP_SETTLE_SECONDS
         known = -1
         while len(self._fleet.all()) != known and loop.time() < until:
             known = len(self._fleet.all())
-            await asyncio.sleep(SETTLE_SECONDS)
+            await asyncio.sleep(MEMBERSHIP_SETTLE_SECONDS)
 
-    async def _pause(self):
+    async def _pause_randomly(self):
         n_writers = min(MAX_HOLDERS, len(self._fleet.all())) + 1
-        spread = SPREAD_SECONDS * n_writers
+        spread = WRITE_SPREAD_SECONDS * n_writers
         await asyncio.sleep(random.uniform(0.0, spread))
 
     async def _read(self):
@@ -182,7 +183,7 @@
                 case Rows(rows, _, now_ms):
                     self._set_clock(now_ms)
                     for row in rows:
-                        self.take_row(row)
+                        self.apply_row(row)
                     return
             await asyncio.sleep(READ_RETRY_SECONDS)
 
@@ -192,23 +193,23 @@
 
     @property
     def _now_ms(self):
-        """The store's clock, as far as this host can tell."""
+        """Estimate of the store's clock, in milliseconds."""
         return int(asyncio.get_running_loop().time() * 1000) + self._clock_ahead_ms
 
     async def give_up(self) -> None:
-        """Remove the entry of a host that leaves."""
-        self._use(0.0)
+        """Stop using the share and remove the entry, before this host leaves."""
+        self._set_share(0.0)
         entries = dict(self._entries)
         if entries.pop(self._ip, None) is not None:
             await self._write(entries)
 
-    async def _adjust(self) -> bool:
-        """Change or renew the own entry if need be; return whether all is done."""
-        entries = self._current()
+    async def _update_entry(self) -> bool:
+        """Update the own entry if necessary; return whether it is up to date."""
+        entries = self._retained_entries()
         own = entries.get(self._ip)
-        present = self._present(entries)
+        present = self._live_entries(entries)
         others = sum(e.share for ip, e in entries.items() if ip != self._ip)
-        # Hosts of a fleet that starts are heard before they have entries.
+        # Hosts of a starting fleet are heard from before they have entries.
         n_heard = len(self._fleet.alive()) + 1
         n_hosts = max(len(present) + (own is None), n_heard)
         fair = 1.0 / min(n_hosts, MAX_HOLDERS)
@@ -218,31 +219,32 @@
             wanted = min(fair, max(0.0, 1.0 - others))
         has_some = own is not None and (own.share > 0.0 or own.slots)
         if not (may_hold or has_some):
-            # Others may have taken what lapsed while this host was cut off.
-            self._use(0.0)
+            # The share may have expired, and been taken, while this host was cut off.
+            self._set_share(0.0)
             return True
         slots = self._plan_slots(entries, own, min(n_hosts, MAX_HOLDERS))
         if own is not None:
-            if own.share > fair and not self._is_any_short(present, fair):
+            if own.share > fair and not self._is_any_below_fair_share(present, fair):
                 wanted = own.share
             due = self._now_ms - own.renewed_ms >= RENEW_MS
             same_slots = slots == frozenset(own.slots)
-            if not due and same_slots and abs(wanted - own.share) <= TOLERANCE:
+            if not due and same_slots and abs(wanted - own.share) <= SHARE_TOLERANCE:
                 return True
-            # No longer used from here on, whatever becomes of the write.
-            self._giving_up |= frozenset(own.slots) - slots
+            # Released slots are unused from here on, whether or not the write succeeds.
+            self._released_slots |= frozenset(own.slots) - slots
         if wanted < self._rates.share:
-            self._use(wanted)
+            self._set_share(wanted)
         entries[self._ip] = _Entry(wanted, self._now_ms, sorted(slots))
         if not await self._write(entries):
             return False
-        self._use(wanted)
+        self._set_share(wanted)
         return True
 
     def _may_hold(self, present) -> bool:
-        """Whether this host may hold a share in a fleet where only some do.
+        """Return whether this host may hold a share in a fleet where only some do.
 
-        One that has none may if it is next in its zone for a place that is free.
+        A host without a share may get one if it is among the first candidates of its
+        zone for the free places.
         """
         zone = self._fleet.own.zone
         peers = {peer.ip: peer.zone for peer in self._fleet.all()}
@@ -256,36 +258,36 @@
         others = (p.ip for p in self._fleet.in_own_zone() if p.ip not in holders)
         return self._ip in itertools.islice(others, max(0, n_free))
 
-    def _is_any_short(self, present, fair) -> bool:
-        """Whether a host that may hold a share has less than a fair one."""
+    def _is_any_below_fair_share(self, present, fair) -> bool:
+        """Return whether a host that may hold a share has less than a fair one."""
         shares = [e.share for e in present.values()]
-        n_fair = sum(share >= fair - TOLERANCE for share in shares)
+        n_fair = sum(share >= fair - SHARE_TOLERANCE for share in shares)
         return n_fair < min(len(shares), MAX_HOLDERS)
 
     def _plan_slots(self, entries, own, n_hosts) -> frozenset[int]:
         others = [frozenset(e.slots) for ip, e in entries.items() if ip != self._ip]
         held = frozenset(own.slots if own else ())
-        return plan_slots(held, others, n_hosts, self._may_give_up())
+        return plan_slots(held, others, n_hosts, self._may_release_slots())
 
-    def _present(self, entries):
-        """Return the entries of hosts that are there."""
-        return {ip: entry for ip, entry in entries.items() if self._holds(ip, entry)}
+    def _live_entries(self, entries):
+        """Return this host's entry and all others that have not expired."""
+        return {ip: entry for ip, entry in entries.items() if self._is_live(ip, entry)}
 
-    def _holds(self, ip, entry) -> bool:
+    def _is_live(self, ip, entry) -> bool:
         return ip == self._ip or self._now_ms - entry.renewed_ms < LEASE_MS
 
-    def _current(self):
-        """Return the entries that hold, by the store's clock.
+    def _retained_entries(self):
+        """Return the entries that are still in effect, by the store's clock.
 
-        Of hosts that have vanished only the slots remain, without an owner that uses
-        them, until what they lent has been forgotten.
+        Expired entries retain only their slots, which no host uses, until the tokens
+        lent from them are no longer valid.
         """
         found = {}
         for ip, entry in self._entries.items():
             age = self._now_ms - entry.renewed_ms
-            if self._holds(ip, entry):
+            if self._is_live(ip, entry):
                 found[ip] = entry
-            elif entry.slots and age < LEASE_MS + FORGET_MS:
+            elif entry.slots and age < LEASE_MS + SLOT_RETENTION_MS:
                 found[ip] = _Entry(0.0, entry.renewed_ms, entry.slots)
         return found
 
@@ -297,21 +299,24 @@
         )
         match await self._store.commit(tx):
             case Applied(version, now_ms):
-                self._take(entries, version)
+                self._apply_entries(entries, version)
                 self._set_clock(now_ms)
-                self._note_given_up()
+                self._clear_released_slots()
                 return True
             case Conflict(rows):
                 for row in rows:
-                    self.take_row(row)
+                    self.apply_row(row)
         return False
 
-    def _note_given_up(self):
-        """Forget slots that the row no longer has as ours: they may come back."""
+    def _clear_released_slots(self):
+        """Clear released slots that the row no longer assigns to this host.
+
+        This host may acquire them again later.
+        """
         own = self._entries.get(self._ip)
-        self._giving_up &= frozenset(own.slots if own else ())
+        self._released_slots &= frozenset(own.slots if own else ())
 
-    def _use(self, share):
+    def _set_share(self, share):
         if share != self._rates.share:
             self._log.info("rate_share", share=round(share, 4), version=self._version)
             self._rates.share = share
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_rate_hosts.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_rate_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that keep customers' rates, on a network that loses messages."""
+"""Simulated hosts with rate limiters, on a network that loses messages."""
 
 import asyncio
 import random
@@ -7,30 +7,31 @@
 from swifttide_daemon.gateway.callers._refusal import Refusal
 from swifttide_daemon.gateway.peers._fleet import Fleet
 from swifttide_daemon.gateway.peers._peer import Peer
-from swifttide_daemon.gateway.rates._rate_keeper import RateKeeper
+from swifttide_daemon.gateway.rates._rate_limiter import RateLimiter
 
 TERMS = CustomerTerms("c", rate_per_second=15.0, burst=15.0)
-WINDOW = 5.0
-"""Seconds in which a customer's requests are counted."""
+WINDOW_SECONDS = 5.0
+"""Length of the window in which admitted requests of a customer are counted."""
 
-EXTRA = 20.0
-"""Requests by which the rule lets a customer exceed its limits in a window."""
+EXTRA_REQUESTS = 20.0
+"""Number of requests by which a customer may exceed its limits in a window."""
 
 MAX_HOLDERS = 12
 
 
 class Hosts:
-    """Hosts with a network that loses, doubles and delays messages.
+    """Hosts on a network that loses, duplicates and delays messages.
 
     Parameters
     ----------
     n_hosts : int
     customers : tuple of CustomerTerms
-    loss, doubled : float
-        Part of the messages that are lost, and that come twice.
+    loss, duplication : float
+        Fractions of the messages that are lost, and that are delivered twice.
     seed : int
     extra : float
-        Requests by which a customer may exceed its limits, as the hosts know it.
+        Number of requests by which a customer may exceed its limits, as configured at
+        the hosts.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         n_hosts,
         customers=(TERMS,),
         loss=0.0,
-        doubled=0.0,
+        duplication=0.0,
         seed=0,
         extra=0.0,
     ):
@@ -47,13 +48,13 @@
         self.rng = random.Random(seed)
         self.log = log
         self.loss = loss
-        self.doubled = doubled
+        self.duplication = duplication
         self.customers = customers
         self.admitted = {t.name: [] for t in customers}
         self.peers = [Peer(f"h{i}", 1, f"z{i % 3}", f"b{i}") for i in range(n_hosts)]
-        self.away = set()
-        """Hosts that are cut off, frozen or dead."""
-        self.keepers = {}
+        self.unreachable = set()
+        """Addresses of hosts that are partitioned, suspended or dead."""
+        self.limiters = {}
         self.tasks = {}
         for own in self.peers:
             self.start(own)
@@ -63,16 +64,18 @@
         for peer in self.peers:
             if peer.ip != own.ip:
                 fleet.heard(peer, True)
-        fleet.is_heard = lambda ip: not {own.ip, ip} & self.away
-        keeper = RateKeeper(fleet, self.holders, self.sender(own), self.log, self.extra)
+        fleet.is_heard = lambda ip: not {own.ip, ip} & self.unreachable
+        limiter = RateLimiter(
+            fleet, self.holders, self.sender(own), self.log, self.extra
+        )
         holds = own.ip in self.holders()
-        keeper.share = 1.0 / len(self.holders()) if holds else 0.0
-        keeper.follow(self.customers)
-        self.keepers[own.ip] = keeper
-        self.tasks[own.ip] = asyncio.create_task(keeper.run())
+        limiter.share = 1.0 / len(self.holders()) if holds else 0.0
+        limiter.update_customers(self.customers)
+        self.limiters[own.ip] = limiter
+        self.tasks[own.ip] = asyncio.create_task(limiter.run())
 
     def restart(self, number):
-        """Kill a host and start its next process."""
+        """Kill a host's process and start a new one at its address."""
         old = self.peers[number]
         self.tasks[old.ip].cancel()
         own = Peer(old.ip, 1, old.zone, old.boot + "+")
@@ -86,45 +89,46 @@
         """Return a function that sends a message to a host."""
 
         def send(ip, message):
-            if {own.ip, ip} & self.away or self.rng.random() < self.loss:
+            if {own.ip, ip} & self.unreachable or self.rng.random() < self.loss:
                 return
             loop = asyncio.get_running_loop()
-            for _ in range(1 + (self.rng.random() < self.doubled)):
+            for _ in range(1 + (self.rng.random() < self.duplication)):
                 delay = self.rng.uniform(0.0002, 0.003)
                 loop.call_later(delay, self.deliver, own.ip, ip, message)
 
         return send
 
     def deliver(self, sender, ip, message):
-        if ip not in self.away:
-            self.keepers[ip].take_message(message, sender)
+        if ip not in self.unreachable:
+            self.limiters[ip].handle_message(message, sender)
 
     async def request(self, number, terms=TERMS, wait=0.0):
-        """Ask to be let in at a host; return whether it was."""
-        keeper = self.keepers[self.peers[number % len(self.peers)].ip]
+        """Send a request to a host; return whether it was admitted."""
+        limiter = self.limiters[self.peers[number % len(self.peers)].ip]
         try:
-            await keeper.take("r", terms, wait)
+            await limiter.take("r", terms, wait)
         except Refusal:
             return False
         self.admitted[terms.name].append(asyncio.get_running_loop().time())
         return True
 
-    def most_in_window(self, terms=TERMS):
-        """Return the most requests let in within any window."""
+    def max_admitted_in_window(self, terms=TERMS):
+        """Return the largest number of requests admitted within any window."""
         times = sorted(self.admitted[terms.name])
         return max(
-            (sum(1 for t in times if s <= t < s + WINDOW) for s in times), default=0
+            (sum(1 for t in times if s <= t < s + WINDOW_SECONDS) for s in times),
+            default=0,
         )
 
 
-def allowed(terms):
-    """Return what the rule lets a customer have in a window."""
-    owed = terms.rate_per_second * WINDOW + terms.burst
-    return owed * 1.1 + EXTRA
+def max_allowed_in_window(terms):
+    """Return the number of requests that a customer may have admitted in a window."""
+    owed = terms.rate_per_second * WINDOW_SECONDS + terms.burst
+    return owed * 1.1 + EXTRA_REQUESTS
 
 
 class CentralBucket:
-    """One bucket that every request reaches at once: what a customer is due."""
+    """Ideal reference: one token bucket that every request reaches without delay."""
 
     def __init__(self, terms):
         self.rate, self.burst = terms.rate_per_second, terms.burst
