--- a/packages/swifttide_core/src/swifttide_core/forwarding/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/__init__.py
@@ -2,8 +2,16 @@
 
 from swifttide_core.forwarding._choose import Candidate, choose_target
 from swifttide_core.forwarding._customer_terms import CustomerTerms
-from swifttide_core.forwarding._homes import Homes, RegionMap, common_homes
-from swifttide_core.forwarding._obstacle import Obstacle, ZoneRules, obstacle_of
+from swifttide_core.forwarding._exclusion import (
+    ExclusionReason,
+    ZoneRules,
+    exclusion_reason,
+)
+from swifttide_core.forwarding._regions import (
+    AllowedRegions,
+    RegionMap,
+    intersect_regions,
+)
 from swifttide_core.forwarding._request_kind import RequestKind
 from swifttide_core.forwarding._request_limits import RequestLimits
 from swifttide_core.forwarding._route import Route, WeightedService
@@ -14,8 +22,8 @@
 __all__ = [
     "Candidate",
     "CustomerTerms",
-    "Homes",
-    "Obstacle",
+    "AllowedRegions",
+    "ExclusionReason",
     "RegionMap",
     "RequestKind",
     "RequestLimits",
@@ -26,6 +34,6 @@
     "WeightedService",
     "ZoneRules",
     "choose_target",
-    "common_homes",
-    "obstacle_of",
+    "intersect_regions",
+    "exclusion_reason",
 ]
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_choose.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_choose.py
@@ -19,18 +19,18 @@
 
 from swifttide_core.forwarding._target_entry import TargetEntry
 
-SUBJECT_PART = 0.35
+CACHED_PREFIX_BATCH_FRACTION = 0.35
 """Part of a target's batch that a cached first part of the prompt is worth. While there
 are places left in the batch, one request more slows the others by a hundredth; a part
 that is read again holds all of them up for some 10 ms."""
 
-LINE_PART = 0.6
+CACHED_PROMPT_BATCH_FRACTION = 0.6
 """Likewise for the whole prompt, which takes 20 to 50 ms."""
 
-OTHER_ZONE_PLACES = 1.0
+CROSS_ZONE_COST_REQUESTS = 1.0
 """Places in a target's batch that a hop to another zone costs."""
 
-NEW_CONNECTION_PLACES = 0.9
+NEW_CONNECTION_COST_REQUESTS = 0.9
 """Likewise for a new connection, which takes as long as a hop and occupies the target.
 Less than a hop: connections that are kept don't draw work out of its zone."""
 
@@ -56,8 +56,8 @@
 def choose_target(
     candidates: Iterable[Candidate],
     zone: str,
-    subject: str,
-    last: str | None = None,
+    affinity_key: str,
+    last_target_id: str | None = None,
     host: str = "",
 ) -> TargetEntry | None:
     """Return the target with the least expected wait.
@@ -85,36 +85,42 @@
     candidates = tuple(candidates)
     if not candidates:
         return None
-    is_there = any(c.target.id == last for c in candidates)
-    preferred = last if is_there else _preferred(candidates, subject)
+    is_there = any(c.target.id == last_target_id for c in candidates)
+    preferred = (
+        last_target_id if is_there else _preferred_target_id(candidates, affinity_key)
+    )
     largest = max(c.target.capacity for c in candidates)
-    worth = largest * (LINE_PART if is_there else SUBJECT_PART)
+    worth = largest * (
+        CACHED_PROMPT_BATCH_FRACTION if is_there else CACHED_PREFIX_BATCH_FRACTION
+    )
 
-    ties = zone + subject if subject else host
+    ties = zone + affinity_key if affinity_key else host
 
     def cost(candidate: Candidate):
         places = candidate.outstanding * largest / max(1, candidate.target.capacity)
         if candidate.target.zone != zone:
-            places += OTHER_ZONE_PLACES
+            places += CROSS_ZONE_COST_REQUESTS
         if not candidate.is_connected:
-            places += NEW_CONNECTION_PLACES
+            places += NEW_CONNECTION_COST_REQUESTS
         if candidate.target.id == preferred:
             places -= worth
-        return (places, _spread(ties, candidate.target.id))
+        return (places, _rendezvous_weight(ties, candidate.target.id))
 
     return min(candidates, key=cost).target
 
 
-def _preferred(candidates, subject) -> str | None:
+def _preferred_target_id(candidates, affinity_key) -> str | None:
     """Return the id of the subject's target by rendezvous hashing, if there is one.
 
     Each host finds the same target without asking anybody, and a target that comes
     or goes moves only its own subjects.
     """
-    if not subject:
+    if not affinity_key:
         return None
-    return max(candidates, key=lambda c: _spread(subject, c.target.id)).target.id
+    return max(
+        candidates, key=lambda c: _rendezvous_weight(affinity_key, c.target.id)
+    ).target.id
 
 
-def _spread(subject, target_id):
-    return xxhash.xxh3_64_intdigest(f"{subject}\0{target_id}".encode())
+def _rendezvous_weight(key, target_id):
+    return xxhash.xxh3_64_intdigest(f"{key}\0{target_id}".encode())
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_obstacle.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_exclusion.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from swifttide_core.forwarding._homes import Homes, RegionMap
+from swifttide_core.forwarding._regions import AllowedRegions, RegionMap
 from swifttide_core.forwarding._target_entry import TargetEntry
 
 
-class Obstacle(StrEnum):
+class ExclusionReason(StrEnum):
     """What keeps a target from new requests, retries and resumed streams."""
 
     DRAINING = "draining"
@@ -31,9 +31,9 @@
     emptied: Set[str] = frozenset()
 
 
-def obstacle_of(
-    target: TargetEntry, zones: ZoneRules, homes: Homes = None
-) -> Obstacle | None:
+def exclusion_reason(
+    target: TargetEntry, zones: ZoneRules, allowed_regions: AllowedRegions = None
+) -> ExclusionReason | None:
     """Return what keeps a target from a request; None if nothing does.
 
     Parameters
@@ -44,9 +44,9 @@
         Regions to which the request is bound.
     """
     if target.draining:
-        return Obstacle.DRAINING
+        return ExclusionReason.DRAINING
     if target.zone in zones.emptied:
-        return Obstacle.ZONE_EMPTIED
-    if not zones.regions.allows(target.zone, homes):
-        return Obstacle.AWAY_FROM_HOME
+        return ExclusionReason.ZONE_EMPTIED
+    if not zones.regions.allows(target.zone, allowed_regions):
+        return ExclusionReason.AWAY_FROM_HOME
     return None
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_homes.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_regions.py
@@ -3,11 +3,11 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-Homes = frozenset[str] | None
+AllowedRegions = frozenset[str] | None
 """Regions in which a request may run; None: anywhere."""
 
 
-def common_homes(*bounds: frozenset[str]) -> Homes:
+def intersect_regions(*bounds: frozenset[str]) -> AllowedRegions:
     """Return the regions that all bounds allow; an empty bound binds nothing."""
     binding = [b for b in bounds if b]
     return frozenset.intersection(*binding) if binding else None
@@ -25,6 +25,6 @@
 
     regions: Mapping[str, str] = field(default_factory=dict)
 
-    def allows(self, zone: str, homes: Homes) -> bool:
+    def allows(self, zone: str, allowed_regions: AllowedRegions) -> bool:
         """Whether a zone lies in one of the homes; one that isn't known doesn't."""
-        return homes is None or self.regions.get(zone) in homes
+        return allowed_regions is None or self.regions.get(zone) in allowed_regions
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_service_spec.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_service_spec.py
@@ -32,6 +32,6 @@
     cold_requests_per_second: float = 0.0
     cold_seconds: float = 0.0
 
-    def places_at(self, target: TargetEntry) -> int:
+    def concurrency_at(self, target: TargetEntry) -> int:
         """Return the requests that a target runs at once, at least one."""
         return max(1, self.concurrency or target.capacity)
--- a/packages/swifttide_core/src/swifttide_core/forwarding/tests/test_choose.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/tests/test_choose.py
@@ -15,7 +15,7 @@
     def test_no_candidates(self):
         assert choose_target((), "a", "s1") is None
 
-    def test_sessions_stay_where_their_prompt_is_cached(self):
+    def test_sessions_keep_the_target_with_the_cached_prompt(self):
         """Turns of many sessions arrive at hosts of both zones.
 
         Each session has one target as long as the load is even; elsewhere its prompt
@@ -27,7 +27,7 @@
             again = choose_target(reversed(targets), "a", session)
             assert at_home.id == again.id
 
-    def test_full_target_is_left_though_the_prompt_is_there(self):
+    def test_busy_target_is_avoided_despite_cached_prompt(self):
         targets = [candidate(f"t{i}") for i in range(4)]
         preferred = choose_target(targets, "a", "s1").id
         loaded = [
@@ -36,7 +36,7 @@
         ]
         assert choose_target(loaded, "a", "s1").id != preferred
 
-    def test_subjects_spread_over_targets(self):
+    def test_affinity_keys_spread_over_targets(self):
         targets = [candidate(f"t{i}") for i in range(4)]
         counts = {}
         for i in range(400):
@@ -44,26 +44,26 @@
             counts[found] = counts.get(found, 0) + 1
         assert min(counts.values()) > 60
 
-    def test_target_that_leaves_moves_only_its_own_subjects(self):
+    def test_removed_target_moves_only_its_own_affinity_keys(self):
         targets = [candidate(f"t{i}") for i in range(4)]
         before = {i: choose_target(targets, "a", f"s{i}").id for i in range(200)}
         after = {i: choose_target(targets[1:], "a", f"s{i}").id for i in range(200)}
         moved = [i for i in before if before[i] != after[i]]
         assert all(before[i] == "t0" for i in moved)
 
-    def test_own_zone_goes_before_another_that_is_hardly_better(self):
+    def test_own_zone_is_preferred_to_a_slightly_less_loaded_zone(self):
         targets = [candidate("near", 1.5, "a"), candidate("far", 1.0, "b")]
         assert choose_target(targets, "a", "").id == "near"
 
-    def test_other_zone_takes_over_when_the_own_one_is_full(self):
+    def test_other_zone_is_chosen_when_own_zone_is_loaded(self):
         targets = [candidate("near", 8.0, "a"), candidate("far", 2.0, "b")]
         assert choose_target(targets, "a", "").id == "far"
 
-    def test_load_counts_against_size(self):
+    def test_load_is_relative_to_capacity(self):
         targets = [candidate("small", 4.0, capacity=4), candidate("large", 6.0)]
         assert choose_target(targets, "a", "").id == "large"
 
-    def test_line_stays_where_its_last_turn_was(self):
+    def test_next_turn_prefers_the_target_of_the_last_turn(self):
         """A turn had to go elsewhere as its usual target was busy, and has left its
         prompt there. The next one is read from its start at any other target.
         """
@@ -73,7 +73,7 @@
         assert choose_target(targets, "a", "s1", other).id == other
         assert choose_target(targets[:1], "a", "s1", "gone").id == "t0"
 
-    def test_hosts_keep_connections_to_a_few_targets(self):
+    def test_hosts_reuse_connections_to_few_targets(self):
         """Guards against a new connection for nearly each call of 200 hosts."""
         rng = random.Random(1)
         hosts = [(f"h{i}", "abc"[i % 3]) for i in range(200)]
@@ -96,23 +96,23 @@
         assert opened < 4000 / 10
         assert max(counts.values()) < 2 * 4000 / 12
 
-    def test_busy_target_is_left_though_connected(self):
+    def test_busy_target_is_avoided_despite_idle_connection(self):
         busy, idle = candidate("t1", 3.0), candidate("t2", 1.0)
         connected = Candidate(busy.target, 3.0, True)
         assert choose_target([connected, idle], "a", "", None, "h1").id == "t2"
 
-    def test_few_prompts_are_read_again_in_a_burst(self):
+    def test_few_prompts_are_recomputed_under_load(self):
         """Sixty programs at a time keep six engines of twelve places busy, through nine
         hosts that know each other's requests a fifth of a second late. A turn that goes
         to another engine than the one before is read again from its start there, and
         holds up all that run there. With a cached prompt worth two places only, more
         than half did.
         """
-        again = [part_read_again(random.Random(seed)) for seed in range(5)]
+        again = [fraction_of_turns_moved(random.Random(seed)) for seed in range(5)]
         assert sum(again) / len(again) <= 0.25
 
 
-def part_read_again(rng, n_programs=60, n_hosts=9, seconds=20.0):
+def fraction_of_turns_moved(rng, n_programs=60, n_hosts=9, seconds=20.0):
     """Return the part of turns that go to another engine than the one before."""
     engines = [f"t{i}" for i in range(6)]
     own = [dict.fromkeys(engines, 0) for _ in range(n_hosts)]
--- a/packages/swifttide_core/src/swifttide_core/forwarding/tests/test_routing_config.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/tests/test_routing_config.py
@@ -26,7 +26,7 @@
         assert self.cfg.find_route("shop.example", "/ab") is None
         assert self.cfg.find_route("shop.example", "/a") is None
 
-    def test_hosts_are_apart(self):
+    def test_routes_are_matched_per_host(self):
         assert self.cfg.find_route("other.example", "/x").prefix == "/"
         assert self.cfg.find_route("third.example", "/a/") is None
 
@@ -39,5 +39,5 @@
         assert cfg.customer_of("k3") is None
         assert cfg.customer("c1") is cfg.customer_of("k1")
 
-    def test_keys_are_not_shown(self):
+    def test_keys_are_not_in_repr(self):
         assert "k1" not in repr(CustomerTerms("c1", ("k1",)))
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_beliefs.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_beliefs.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable, Set
 
 from swifttide_core.forwarding import (
-    Homes,
+    AllowedRegions,
     RegionMap,
     RequestLimits,
     RoutingConfig,
     ServiceSpec,
     TargetEntry,
     ZoneRules,
-    obstacle_of,
+    exclusion_reason,
 )
 from swifttide_daemon.gateway.targets._cold_targets import ColdTargets
 from swifttide_daemon.telemetry import EventLog
@@ -170,7 +170,9 @@
                 del self._lapsing[target_id]
                 self._drop(target_id, "not_back")
 
-    def targets_of(self, service: str, homes: Homes = None) -> list[TargetEntry]:
+    def targets_of(
+        self, service: str, homes: AllowedRegions = None
+    ) -> list[TargetEntry]:
         """Return the targets of a service that take new work.
 
         Parameters
@@ -185,9 +187,9 @@
             if target.service == service and self.may_use(target, homes)
         ]
 
-    def may_use(self, target: TargetEntry, homes: Homes = None) -> bool:
+    def may_use(self, target: TargetEntry, homes: AllowedRegions = None) -> bool:
         """Whether a target takes new work that is bound to these regions."""
-        return obstacle_of(target, self._zones, homes) is None
+        return exclusion_reason(target, self._zones, homes) is None
 
     def _spec_of(self, target) -> ServiceSpec:
         if self.config is None:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
@@ -4,11 +4,11 @@
 import random
 
 from swifttide_core.forwarding import (
+    AllowedRegions,
     CustomerTerms,
-    Homes,
     RequestKind,
     Route,
-    common_homes,
+    intersect_regions,
 )
 from swifttide_core.strikes import Refused, fingerprint_of
 from swifttide_daemon.gateway._beliefs import Beliefs
@@ -259,6 +259,6 @@
     return route.name if route.kind is RequestKind.STREAMING else ""
 
 
-def _homes_of(route, terms) -> Homes:
+def _homes_of(route, terms) -> AllowedRegions:
     """Return the regions to which route and customer bind a request."""
-    return common_homes(route.regions, terms.regions if terms else frozenset())
+    return intersect_regions(route.regions, terms.regions if terms else frozenset())
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
@@ -313,7 +313,7 @@
             len(job.body),
         )
         exchange = None
-        places = job.service.places_at(target)
+        places = job.service.concurrency_at(target)
         progress.target_load = self._health.outstanding(target.id) / places
         self._health.sent(target.id)
         try:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_job.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_job.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from swifttide_core.forwarding import CustomerTerms, Homes, Route, ServiceSpec
+from swifttide_core.forwarding import AllowedRegions, CustomerTerms, Route, ServiceSpec
 from swifttide_daemon.gateway.budgets._reservation import Reservation
 from swifttide_daemon.gateway.callers._caller_channel import CallerChannel
 from swifttide_daemon.gateway.callers._caller_request import CallerRequest
@@ -42,7 +42,7 @@
     reservation: Reservation | None
     channel: CallerChannel
     fingerprint: str
-    homes: Homes = None
+    homes: AllowedRegions = None
 
     @property
     def customer(self) -> str:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_program_entry.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_program_entry.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from swifttide_core.admission import Entered, ProgramGate, TurnedAway
-from swifttide_core.forwarding import Homes, ServiceSpec
+from swifttide_core.forwarding import AllowedRegions, ServiceSpec
 from swifttide_daemon.gateway._beliefs import Beliefs
 from swifttide_daemon.gateway.callers._refusal import Refusal
 from swifttide_daemon.gateway.targets._order_keeper import OrderKeeper
@@ -51,7 +51,7 @@
         service: ServiceSpec,
         program: str,
         seconds: float | None,
-        homes: Homes = None,
+        homes: AllowedRegions = None,
     ) -> None:
         """Let a new program begin; raises `Refusal` where targets have no place.
 
@@ -96,7 +96,7 @@
         targets = self._beliefs.targets_of(service.name)
         usable = [t for t in targets if self._health.usable(t.id)]
         outstanding = sum(self._health.outstanding(t.id) for t in usable)
-        places = sum(service.places_at(t) for t in usable)
+        places = sum(service.concurrency_at(t) for t in usable)
         return outstanding / places if places else 0.0
 
     def _gate(self, service) -> ProgramGate:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_fleet.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_fleet.py
@@ -6,7 +6,7 @@
 import msgspec
 import xxhash
 
-from swifttide_core.forwarding import Homes, RegionMap
+from swifttide_core.forwarding import AllowedRegions, RegionMap
 from swifttide_daemon.gateway.peers._beacon_rounds import ROUND_SECONDS
 from swifttide_daemon.gateway.peers._peer import Peer
 from swifttide_daemon.gateway.store._shared_store import (
@@ -270,7 +270,7 @@
         """Return the hosts heard lately that reach the store."""
         return [p for p in self.alive() if self._store_up.get(p.ip)]
 
-    def relays(self, homes: Homes = None) -> list[Peer]:
+    def relays(self, homes: AllowedRegions = None) -> list[Peer]:
         """Return the hosts to which the store has room for more calls.
 
         Parameters
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_home_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_home_store.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from swifttide_core.forwarding import Homes
+from swifttide_core.forwarding import AllowedRegions
 from swifttide_daemon.gateway.store._shared_store import (
     Applied,
     Conflict,
@@ -16,12 +16,17 @@
     """A store that other hosts may carry calls to."""
 
     async def commit(
-        self, tx: Transaction, homes: Homes = None
+        self, tx: Transaction, homes: AllowedRegions = None
     ) -> Applied | Conflict | Unavailable:
         """Apply a transaction; only hosts in these regions may carry it."""
 
     async def read(
-        self, table: str, part: str, start: str = "", end: str = "", homes: Homes = None
+        self,
+        table: str,
+        part: str,
+        start: str = "",
+        end: str = "",
+        homes: AllowedRegions = None,
     ) -> Rows | Unavailable:
         """Read rows; only hosts in these regions may carry them."""
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_relayed_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_relayed_store.py
@@ -18,7 +18,7 @@
 import functools
 import random
 
-from swifttide_core.forwarding import Homes
+from swifttide_core.forwarding import AllowedRegions
 from swifttide_daemon.gateway._metrics import GatewayMetrics
 from swifttide_daemon.gateway.peers._fleet import Fleet
 from swifttide_daemon.gateway.peers._peer_client import PeerClient
@@ -120,14 +120,19 @@
         self.direct_up = True
 
     async def commit(
-        self, tx: Transaction, homes: Homes = None
+        self, tx: Transaction, homes: AllowedRegions = None
     ) -> Applied | Conflict | Unavailable:
         """Apply a transaction; only hosts in these regions may carry it."""
         relayed = RelayCommit(tx)
         return await self._either(lambda: self._direct.commit(tx), relayed, homes)
 
     async def read(
-        self, table: str, part: str, start: str = "", end: str = "", homes: Homes = None
+        self,
+        table: str,
+        part: str,
+        start: str = "",
+        end: str = "",
+        homes: AllowedRegions = None,
     ) -> Rows | Unavailable:
         """Read the rows of a part; only hosts in these regions may carry them."""
         relayed = RelayRead(table, part, start, end)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_order_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_order_keeper.py
@@ -24,7 +24,7 @@
     TurnId,
     TurnOrder,
 )
-from swifttide_core.forwarding import Homes, ServiceSpec, TargetEntry
+from swifttide_core.forwarding import AllowedRegions, ServiceSpec, TargetEntry
 from swifttide_daemon.gateway._beliefs import Beliefs
 from swifttide_daemon.gateway.peers._elapsed_clock import elapsed_seconds
 from swifttide_daemon.gateway.peers._fleet import Fleet
@@ -129,7 +129,7 @@
         service: ServiceSpec,
         program: str,
         seconds: float | None,
-        homes: Homes = None,
+        homes: AllowedRegions = None,
     ) -> Entered | TurnedAway | None:
         """Ask whether a new program may begin; None if the keeper doesn't answer."""
         number = secrets.randbits(NUMBER_BITS)
@@ -152,7 +152,7 @@
         last: str,
         seconds: float,
         without: frozenset[str],
-        homes: Homes = None,
+        homes: AllowedRegions = None,
         connected: Iterable[str] = (),
     ) -> Place | PlaceLater | None:
         """Ask where a turn goes; None if the keeper doesn't answer or knows no target.
@@ -272,7 +272,7 @@
         match ask:
             case AskEntry(program=program, seconds=seconds):
                 ids = [t.id for t in targets]
-                places = sum(service.places_at(t) for t in targets)
+                places = sum(service.concurrency_at(t) for t in targets)
                 # A new keeper's small pace is no reason to turn programs away: hosts
                 # have shares of their own meanwhile.
                 limits = self._limits(service, targets, KeeperStanding.settled())
@@ -344,5 +344,5 @@
     return f"order of {service}"
 
 
-def _listed(homes: Homes) -> list[str] | None:
+def _listed(homes: AllowedRegions) -> list[str] | None:
     return None if homes is None else sorted(homes)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_turn_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_turn_keeper.py
@@ -4,7 +4,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from swifttide_core.forwarding import Homes
+from swifttide_core.forwarding import AllowedRegions
 from swifttide_daemon.gateway.callers._refusal import Refusal
 from swifttide_daemon.gateway.peers._fleet import Fleet
 from swifttide_daemon.gateway.peers._peer_client import PeerClient
@@ -94,7 +94,7 @@
         customer: str,
         turn: str,
         keep_seconds: float,
-        homes: Homes = None,
+        homes: AllowedRegions = None,
     ) -> bytes:
         """Return the transcript up to the end of a turn.
 
@@ -151,7 +151,7 @@
         turn: str,
         transcript: bytes,
         seconds: float,
-        homes: Homes = None,
+        homes: AllowedRegions = None,
     ) -> bool:
         """Store a turn that has ended for some time; return whether it will last.
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/platform/tests/test_homes.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/platform/tests/test_homes.py
@@ -2,7 +2,7 @@
 
 from json import dumps
 
-from swifttide_core.forwarding import RegionMap, common_homes
+from swifttide_core.forwarding import RegionMap, intersect_regions
 from swifttide_daemon.platform import decode_config
 from swifttide_daemon.platform.tests._waiting import until
 from swifttide_daemon.platform.tests.conftest import TURN, document, route
@@ -96,10 +96,10 @@
 
 class TestCommonHomes:
     def test_all_bounds_bind(self):
-        assert common_homes(frozenset(), frozenset()) is None
-        assert common_homes(frozenset({"n"}), frozenset()) == {"n"}
-        assert common_homes(frozenset({"n", "s"}), frozenset({"s"})) == {"s"}
-        assert common_homes(frozenset({"n"}), frozenset({"s"})) == set()
+        assert intersect_regions(frozenset(), frozenset()) is None
+        assert intersect_regions(frozenset({"n"}), frozenset()) == {"n"}
+        assert intersect_regions(frozenset({"n", "s"}), frozenset({"s"})) == {"s"}
+        assert intersect_regions(frozenset({"n"}), frozenset({"s"})) == set()
 
     def test_zone_that_is_not_known_is_no_home(self):
         assert REGIONS.allows("zone-x", None)
