--- a/packages/swifttide_core/src/swifttide_core/forwarding/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Routes, services and targets of requests that are forwarded, without I/O."""
+"""Routing configuration and target selection for forwarded requests, without I/O."""
 
 from swifttide_core.forwarding._choose import Candidate, choose_target
 from swifttide_core.forwarding._customer_terms import CustomerTerms
@@ -20,9 +20,8 @@
 from swifttide_core.forwarding._target_entry import TargetEntry
 
 __all__ = [
-    "Candidate",
-    "CustomerTerms",
     "AllowedRegions",
+    "CustomerTerms",
     "ExclusionReason",
     "RegionMap",
     "RequestKind",
@@ -33,7 +32,8 @@
     "TargetEntry",
     "WeightedService",
     "ZoneRules",
+    "Candidate",
     "choose_target",
-    "intersect_regions",
     "exclusion_reason",
+    "intersect_regions",
 ]
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_choose.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_choose.py
@@ -1,15 +1,21 @@
-"""Which target a request goes to.
+"""Select the target that a request is forwarded to.
 
-Load pattern: many hosts send to few engines that admit in order of arrival. Requests
-of one program find their prompt in the cache of the engine that served it last.
+The selection compares, for each candidate target, the number of outstanding requests,
+the availability zone, whether this host has an idle connection to it, and whether it is
+likely to hold the prompt of the request in its prefix cache.
 
-Without it: requests pile up at one engine while others are idle, or each turn is
-read again from its start.
+Load pattern: many hosts send requests to a few engines, which admit them in order of
+arrival. Requests of one program find their prompt in the cache of the engine that
+served the program last.
 
-Grounds: a prompt that is cached saves some tens of milliseconds, for the request and
-for all that run beside it; one more request in a batch that isn't full costs them a
-hundredth of a step. A hop to another zone costs two milliseconds there and back and is
-priced by bytes, less than one place in the queue.
+Without this module, requests queue at one engine while others are idle, or the prompt
+of each turn is computed again from its start.
+
+All costs are expressed in outstanding requests. A cached prompt saves some tens of
+milliseconds for the request and for all requests in the same batch. One more request in
+a batch with free capacity slows the others by about 1% of a step. A round trip to
+another zone takes 2 ms and is billed by the byte, which is less than the cost of one
+position in the queue.
 """
 
 from collections.abc import Iterable
@@ -20,32 +26,35 @@
 from swifttide_core.forwarding._target_entry import TargetEntry
 
 CACHED_PREFIX_BATCH_FRACTION = 0.35
-"""Part of a target's batch that a cached first part of the prompt is worth. While there
-are places left in the batch, one request more slows the others by a hundredth; a part
-that is read again holds all of them up for some 10 ms."""
+"""Cost reduction for a target that is likely to have the beginning of the prompt
+cached, as a fraction of the batch capacity. While the batch has free capacity, one more
+request slows the others by about 1%; computing the prefix again delays all of them by
+some 10 ms."""
 
 CACHED_PROMPT_BATCH_FRACTION = 0.6
-"""Likewise for the whole prompt, which takes 20 to 50 ms."""
+"""Cost reduction for a target that has the whole prompt up to the last turn cached, as
+a fraction of the batch capacity. Computing the whole prompt takes 20 to 50 ms."""
 
 CROSS_ZONE_COST_REQUESTS = 1.0
-"""Places in a target's batch that a hop to another zone costs."""
+"""Cost of sending to another zone, in outstanding requests."""
 
 NEW_CONNECTION_COST_REQUESTS = 0.9
-"""Likewise for a new connection, which takes as long as a hop and occupies the target.
-Less than a hop: connections that are kept don't draw work out of its zone."""
+"""Cost of opening a new connection, in outstanding requests. It takes as long as a hop
+to another zone and uses resources of the target. It is less than the cost of another
+zone, so that idle connections do not move traffic out of its zone."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A target that may take the request, and its load.
+    """A target that may be selected, and its load.
 
     Parameters
     ----------
     target : TargetEntry
     outstanding : float
-        Requests that are known to be at the target, from all hosts.
+        Known requests in progress or queued at the target, from all hosts.
     is_connected : bool
-        Whether this host has an idle connection to it.
+        Whether this host has an idle connection to the target.
     """
 
     target: TargetEntry
@@ -60,60 +69,61 @@
     last_target_id: str | None = None,
     host: str = "",
 ) -> TargetEntry | None:
-    """Return the target with the least expected wait.
+    """Return the target with the lowest cost.
 
     Parameters
     ----------
     candidates : iterable of Candidate
     zone : str
         Zone of this host.
-    subject : str
-        What the request concerns, such as its session; requests with the same
-        subject prefer the same target. Empty: no preference.
-    last : str or None
-        Id of the target that served the turn before, and has all of its prompt; goes
-        before the subject's.
+    affinity_key : str
+        Key of related requests, such as a session id. Requests with the same key
+        prefer the same target. If empty, there is no preference.
+    last_target_id : str or None
+        Id of the target that served the previous turn and has its whole prompt cached.
+        If it is among the candidates, it replaces the preference of `affinity_key`.
     host : str
-        Of this host. Among targets that are alike each host has its own first choice,
-        so that it can keep a connection there.
+        Name of this host, which breaks ties between equal targets if `affinity_key` is
+        empty. Each host then prefers a different target, so that it can reuse its
+        connection there.
 
     Returns
     -------
     TargetEntry or None
-        None without candidates.
+        None if there are no candidates.
     """
     candidates = tuple(candidates)
     if not candidates:
         return None
-    is_there = any(c.target.id == last_target_id for c in candidates)
+    has_last = any(c.target.id == last_target_id for c in candidates)
     preferred = (
-        last_target_id if is_there else _preferred_target_id(candidates, affinity_key)
+        last_target_id if has_last else _preferred_target_id(candidates, affinity_key)
     )
-    largest = max(c.target.capacity for c in candidates)
-    worth = largest * (
-        CACHED_PROMPT_BATCH_FRACTION if is_there else CACHED_PREFIX_BATCH_FRACTION
+    max_capacity = max(c.target.capacity for c in candidates)
+    cache_bonus = max_capacity * (
+        CACHED_PROMPT_BATCH_FRACTION if has_last else CACHED_PREFIX_BATCH_FRACTION
     )
 
-    ties = zone + affinity_key if affinity_key else host
+    tie_key = zone + affinity_key if affinity_key else host
 
     def cost(candidate: Candidate):
-        places = candidate.outstanding * largest / max(1, candidate.target.capacity)
+        load = candidate.outstanding * max_capacity / max(1, candidate.target.capacity)
         if candidate.target.zone != zone:
-            places += CROSS_ZONE_COST_REQUESTS
+            load += CROSS_ZONE_COST_REQUESTS
         if not candidate.is_connected:
-            places += NEW_CONNECTION_COST_REQUESTS
+            load += NEW_CONNECTION_COST_REQUESTS
         if candidate.target.id == preferred:
-            places -= worth
-        return (places, _rendezvous_weight(ties, candidate.target.id))
+            load -= cache_bonus
+        return (load, _rendezvous_weight(tie_key, candidate.target.id))
 
     return min(candidates, key=cost).target
 
 
 def _preferred_target_id(candidates, affinity_key) -> str | None:
-    """Return the id of the subject's target by rendezvous hashing, if there is one.
+    """Return the target id that rendezvous hashing assigns to the key, if any.
 
-    Each host finds the same target without asking anybody, and a target that comes
-    or goes moves only its own subjects.
+    All hosts compute the same target without communication. When a target is added or
+    removed, only the keys that are assigned to that target move.
     """
     if not affinity_key:
         return None
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_customer_terms.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_customer_terms.py
@@ -1,24 +1,26 @@
-"""What a customer may ask for."""
+"""API keys, priority, rate limit and allowed regions of one customer."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class CustomerTerms:
-    """A customer of the operator's configuration.
+    """Settings of one customer in the operator's configuration.
 
     Parameters
     ----------
     name : str
     keys : tuple of str
-        Keys that callers of this customer present; never shown.
+        API keys that authenticate the callers of this customer. They are left out of
+        the representation, so that they do not get into logs.
     priority : int or None
-        Goes before the priority of a route; None leaves the route's.
+        Overrides the priority of the route; None keeps the priority of the route.
     rate_per_second, burst : float
-        Over all hosts together; a rate of 0 means no limit.
+        Rate limit in requests per second and burst in requests, over all hosts
+        together. A rate of 0 means no limit.
     regions : frozenset of str
-        Where its requests may run and be carried, beside what a route says; empty:
-        anywhere.
+        Regions in which requests may run and through which they may be relayed, in
+        addition to the restriction of the route. If empty, there is no restriction.
     """
 
     name: str
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_exclusion.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_exclusion.py
@@ -1,4 +1,8 @@
-"""Why a target gets no new work."""
+"""Decide whether a target is excluded from new requests, and for which reason.
+
+A target is excluded while it drains, while the operator keeps its availability zone
+empty, or if its zone is outside the regions that are allowed for the request.
+"""
 
 from collections.abc import Set
 from dataclasses import dataclass
@@ -9,7 +13,10 @@
 
 
 class ExclusionReason(StrEnum):
-    """What keeps a target from new requests, retries and resumed streams."""
+    """Reason to exclude a target from new requests, retries and resumed streams.
+
+    ``AWAY_FROM_HOME`` means that the target is outside the allowed regions.
+    """
 
     DRAINING = "draining"
     ZONE_EMPTIED = "zone_emptied"
@@ -18,13 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneRules:
-    """What operators said of availability zones.
+    """Operator settings for availability zones.
 
     Parameters
     ----------
     regions : RegionMap
+        Region of each zone.
     emptied : set of str
-        Zones to whose targets nothing is to be sent.
+        Zones whose targets must not receive requests.
     """
 
     regions: RegionMap
@@ -34,14 +42,14 @@
 def exclusion_reason(
     target: TargetEntry, zones: ZoneRules, allowed_regions: AllowedRegions = None
 ) -> ExclusionReason | None:
-    """Return what keeps a target from a request; None if nothing does.
+    """Return why a target must not receive a request, or None if it may.
 
     Parameters
     ----------
     target : TargetEntry
     zones : ZoneRules
-    homes : frozenset of str or None
-        Regions to which the request is bound.
+    allowed_regions : frozenset of str or None
+        Regions in which the request may run; None if there is no restriction.
     """
     if target.draining:
         return ExclusionReason.DRAINING
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_regions.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_regions.py
@@ -1,21 +1,24 @@
-"""Regions to which an operator binds requests."""
+"""Restriction of requests to regions."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 AllowedRegions = frozenset[str] | None
-"""Regions in which a request may run; None: anywhere."""
+"""Regions in which a request may run; None if there is no restriction."""
 
 
 def intersect_regions(*bounds: frozenset[str]) -> AllowedRegions:
-    """Return the regions that all bounds allow; an empty bound binds nothing."""
+    """Return the regions that all restrictions allow.
+
+    An empty set is no restriction. Returns None if all sets are empty.
+    """
     binding = [b for b in bounds if b]
     return frozenset.intersection(*binding) if binding else None
 
 
 @dataclass(frozen=True, slots=True)
 class RegionMap:
-    """In which region each availability zone lies.
+    """Mapping of availability zones to regions.
 
     Parameters
     ----------
@@ -26,5 +29,8 @@
     regions: Mapping[str, str] = field(default_factory=dict)
 
     def allows(self, zone: str, allowed_regions: AllowedRegions) -> bool:
-        """Whether a zone lies in one of the homes; one that isn't known doesn't."""
+        """Return whether a zone is in an allowed region.
+
+        A zone of unknown region is allowed only without a restriction.
+        """
         return allowed_regions is None or self.regions.get(zone) in allowed_regions
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_request_kind.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_request_kind.py
@@ -1,12 +1,12 @@
-"""What may be repeated of a request."""
+"""Whether a request may be executed more than once."""
 
 from enum import Enum
 
 
 class RequestKind(Enum):
-    """How often a request may run.
+    """Kind of a request, which determines whether it may be retried.
 
-    A stream counts as not repeatable unless its route says that it may be resumed.
+    A streaming request is not retried, unless its route is marked as resumable.
     """
 
     IDEMPOTENT = "idempotent"
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_request_limits.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_request_limits.py
@@ -1,20 +1,20 @@
-"""What a caller may send, and how long it may take."""
+"""Size and time limits of callers' requests and connections."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Bounds of a caller's request and connection.
+    """Limits of a caller's request and connection.
 
     Parameters
     ----------
     max_header_bytes, max_body_bytes : int
-        Larger ones are refused.
+        Maximum size in bytes. Larger requests are refused.
     header_seconds : float
-        Longest time from a request's first byte to the end of its headers.
+        Maximum time from the first byte of a request to the end of its headers.
     idle_seconds : float
-        Longest time that a connection stays open without a request.
+        Maximum time that a connection stays open without a request.
     """
 
     max_header_bytes: int = 16_384
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_route.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_route.py
@@ -1,4 +1,4 @@
-"""One route of the operator's configuration."""
+"""Route of the operator's configuration: match rules, services, timeouts, retries."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service that a route sends a share of its requests to.
+    """A service that receives a share of the requests of a route.
 
     Parameters
     ----------
     service : str
         Name of the service.
     weight : float
-        Share, relative to the route's other services.
+        Share of the requests, relative to the weights of the other services of the
+        route.
     """
 
     service: str
@@ -23,40 +24,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go to which service, and what they may cost.
+    """Match rule for requests, with their services, timeouts and retry settings.
 
     Parameters
     ----------
     name : str
     host : str
-        Value of the ``Host`` header, lower case, without a port.
+        Value of the ``Host`` header, in lower case and without a port.
     prefix : str
-        Beginning of the path; begins and ends with a slash.
+        Path prefix, which begins and ends with a slash.
     kind : RequestKind
+        Whether requests may be retried.
     services : tuple of WeightedService
-        One, or several among which requests are split.
+        One service, or several among which requests are split by weight.
     timeout_seconds : float
-        Longest time that a caller is kept waiting.
+        Maximum time until the caller gets an answer.
     objective_seconds : float
-        Time to the answer (streams: the first event) that earns the full worth.
+        Latency objective: time to the answer, or to the first event of a stream,
+        within which a request counts with its full value.
     max_attempts : int
-        Most targets that one attempt of a caller may be sent to.
+        Maximum number of targets that one request of a caller is sent to.
     priority : int
-        0 is the most urgent.
+        Priority, of which 0 is the most urgent.
     public : bool
-        Whether requests need no key.
+        Whether requests need no API key.
     sticky : bool
-        Whether a target that has seen the same subject works faster.
+        Whether a target is faster for requests whose affinity key it has served
+        before.
     resumable : bool
-        Whether a broken stream may go on at another target.
+        Whether an interrupted stream may be resumed at another target.
     keeps_turns : bool
-        Whether requests are turns whose history the fleet keeps.
+        Whether requests are conversation turns whose history the hosts store.
     keep_seconds : float
-        How long a turn of this route is kept after its answer.
+        Time for which a turn is stored after its answer.
     max_gap_seconds : float
-        Longest pause between events of a stream that is on time.
+        Maximum time between two events of a stream that counts as on time.
     regions : frozenset of str
-        Where its requests may run and be carried; empty: anywhere.
+        Regions in which requests may run and through which they may be relayed. If
+        empty, there is no restriction.
     """
 
     name: str
@@ -78,5 +83,5 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.kind is RequestKind.IDEMPOTENT
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_routing_config.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_routing_config.py
@@ -1,4 +1,4 @@
-"""One version of the operator's configuration, ready for lookups."""
+"""Version of the operator's configuration, indexed for lookups per request."""
 
 from dataclasses import dataclass, field
 
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True)
 class RoutingConfig:
-    """Routes, services, customers and limits of one version.
+    """Routes, services, customers and limits of one configuration version.
 
     Parameters
     ----------
     version : int
-        Grows with each change by the operator.
+        Version number, which increases with each change by the operator.
     routes : tuple of Route
     services : tuple of ServiceSpec
     customers : tuple of CustomerTerms
-        Empty: requests need no key.
+        If empty, requests need no API key.
     limits : RequestLimits
     """
 
@@ -43,18 +43,18 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests on routes that aren't public carry a key."""
+        """Whether requests on routes that are not public need an API key."""
         return bool(self.customers)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path.
+        """Return the route with the longest matching path prefix, or None.
 
         Parameters
         ----------
         host : str
-            Lower case, without a port.
+            Host name in lower case, without a port.
         path : str
-            Without the query.
+            Path without the query string.
         """
         prefixes = self._by_host.get(host)
         if not prefixes:
@@ -68,13 +68,13 @@
         return None
 
     def customer_of(self, key: str) -> CustomerTerms | None:
-        """Return the customer that holds a key."""
+        """Return the customer to which an API key belongs, or None."""
         return self._by_key.get(key)
 
     def customer(self, name: str) -> CustomerTerms | None:
-        """Return a customer by name."""
+        """Return a customer by name, or None."""
         return self._customers.get(name)
 
     def service(self, name: str) -> ServiceSpec:
-        """Return what is known of a service; defaults for one that isn't named."""
+        """Return a service by name, or default settings if it is not configured."""
         return self._services.get(name) or ServiceSpec(name)
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_service_spec.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_service_spec.py
@@ -1,4 +1,4 @@
-"""One service of the operator's configuration."""
+"""Service of the operator's configuration: capacity and warm-up of its targets."""
 
 from dataclasses import dataclass
 
@@ -7,22 +7,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """What is known of all targets of a service.
+    """Settings that apply to all targets of a service.
 
     Parameters
     ----------
     name : str
     max_connections : int
-        Connections that one target accepts from all hosts together.
+        Maximum connections that one target accepts from all hosts together.
     tokens_per_event : int
-        Tokens that one event of a stream counts for in budgets; 0 for a service
-        that generates none.
+        Tokens that one stream event is counted as in token budgets; 0 for a service
+        that generates no tokens.
     concurrency : int
-        Requests that one engine runs at once; 0 where each target says so itself.
+        Requests that one target executes concurrently; 0 if each target registers its
+        own capacity.
     cold_requests_per_second : float
-        What a cold target bears; 0 where targets are never cold.
+        Request rate that a target sustains while it warms up; 0 if targets need no
+        warm-up.
     cold_seconds : float
-        For how long a target is cold after its start.
+        Warm-up time of a target after its start.
     """
 
     name: str
@@ -33,5 +35,5 @@
     cold_seconds: float = 0.0
 
     def concurrency_at(self, target: TargetEntry) -> int:
-        """Return the requests that a target runs at once, at least one."""
+        """Return the number of concurrent requests of a target, at least 1."""
         return max(1, self.concurrency or target.capacity)
--- a/packages/swifttide_core/src/swifttide_core/forwarding/_target_entry.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/_target_entry.py
@@ -1,31 +1,31 @@
-"""A target as it registered itself."""
+"""Registration entry that a target writes about itself."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class TargetEntry:
-    """One running target of a service.
+    """One running target of a service, as it registered itself.
 
     Parameters
     ----------
     id : str
-        Id under which it registered; another process at the same address has
-        another one.
+        Registration id. Another process at the same address has a different id.
     service : str
     ip : str
     port : int
     zone : str
     capacity : int
-        Requests that it runs at once.
+        Requests that the target executes concurrently.
     draining : bool
-        Whether it has announced that it leaves: no new work.
+        Whether the target has announced its shutdown and must get no new requests.
     started_ms : int
-        When its process started; tells a restart under the same id.
+        Start time of the process, in milliseconds. It identifies a restart under the
+        same id.
     cold_seconds : float or None
-        For how long it said that it stays cold, from when it wrote the entry; None if
-        what it said makes no sense. Falls with each entry, so it doesn't make two
-        entries differ.
+        Remaining warm-up time that the target reported when it wrote the entry; None
+        if the reported value is invalid. It decreases with each entry and is therefore
+        left out of comparisons.
     """
 
     id: str
--- a/packages/swifttide_core/src/swifttide_core/forwarding/tests/test_choose.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/tests/test_choose.py
@@ -1,4 +1,4 @@
-"""Choosing a target under the loads that its module names."""
+"""Tests of target selection under load."""
 
 import heapq
 import random
@@ -16,16 +16,16 @@
         assert choose_target((), "a", "s1") is None
 
     def test_sessions_keep_the_target_with_the_cached_prompt(self):
-        """Turns of many sessions arrive at hosts of both zones.
+        """Guards against computing a session's prompt again at another target.
 
-        Each session has one target as long as the load is even; elsewhere its prompt
-        would be read again.
+        Turns of many sessions arrive at hosts of both zones. While the load is even,
+        each session must be assigned to one target.
         """
         targets = [candidate(f"t{i}") for i in range(4)]
         for session in (f"s{i}" for i in range(50)):
-            at_home = choose_target(targets, "a", session)
-            again = choose_target(reversed(targets), "a", session)
-            assert at_home.id == again.id
+            first = choose_target(targets, "a", session)
+            second = choose_target(reversed(targets), "a", session)
+            assert first.id == second.id
 
     def test_busy_target_is_avoided_despite_cached_prompt(self):
         targets = [candidate(f"t{i}") for i in range(4)]
@@ -40,8 +40,8 @@
         targets = [candidate(f"t{i}") for i in range(4)]
         counts = {}
         for i in range(400):
-            found = choose_target(targets, "a", f"s{i}").id
-            counts[found] = counts.get(found, 0) + 1
+            chosen_id = choose_target(targets, "a", f"s{i}").id
+            counts[chosen_id] = counts.get(chosen_id, 0) + 1
         assert min(counts.values()) > 60
 
     def test_removed_target_moves_only_its_own_affinity_keys(self):
@@ -64,8 +64,10 @@
         assert choose_target(targets, "a", "").id == "large"
 
     def test_next_turn_prefers_the_target_of_the_last_turn(self):
-        """A turn had to go elsewhere as its usual target was busy, and has left its
-        prompt there. The next one is read from its start at any other target.
+        """Guards against computing the prompt again after a turn was moved.
+
+        A turn was sent to a different target because the target of its affinity key
+        was busy. Its prompt is now cached there, and at no other target.
         """
         targets = [candidate(f"t{i}") for i in range(4)]
         usual = choose_target(targets, "a", "s1").id
@@ -74,7 +76,7 @@
         assert choose_target(targets[:1], "a", "s1", "gone").id == "t0"
 
     def test_hosts_reuse_connections_to_few_targets(self):
-        """Guards against a new connection for nearly each call of 200 hosts."""
+        """Guards against a new connection for almost every request of 200 hosts."""
         rng = random.Random(1)
         hosts = [(f"h{i}", "abc"[i % 3]) for i in range(200)]
         used_at, opened, counts = {}, 0, {}
@@ -89,10 +91,10 @@
                 )
                 for i in range(12)
             ]
-            found = choose_target(targets, zone, "", None, host).id
-            opened += now - used_at.get((host, found), -9.0) >= 4.0
-            used_at[host, found] = now
-            counts[found] = counts.get(found, 0) + 1
+            chosen_id = choose_target(targets, zone, "", None, host).id
+            opened += now - used_at.get((host, chosen_id), -9.0) >= 4.0
+            used_at[host, chosen_id] = now
+            counts[chosen_id] = counts.get(chosen_id, 0) + 1
         assert opened < 4000 / 10
         assert max(counts.values()) < 2 * 4000 / 12
 
@@ -102,51 +104,55 @@
         assert choose_target([connected, idle], "a", "", None, "h1").id == "t2"
 
     def test_few_prompts_are_recomputed_under_load(self):
-        """Sixty programs at a time keep six engines of twelve places busy, through nine
-        hosts that know each other's requests a fifth of a second late. A turn that goes
-        to another engine than the one before is read again from its start there, and
-        holds up all that run there. With a cached prompt worth two places only, more
-        than half did.
+        """Guards against moving turns away from the engine that cached their prompt.
+
+        Sixty concurrent programs load six engines of capacity 12 through nine hosts,
+        which learn of each other's requests 0.2 s late. A turn that is sent to another
+        engine than the previous one is computed again from its start and delays all
+        requests there. With a cost reduction of only two requests for a cached prompt,
+        more than half of the turns moved.
         """
-        again = [fraction_of_turns_moved(random.Random(seed)) for seed in range(5)]
-        assert sum(again) / len(again) <= 0.25
+        fractions = [fraction_of_turns_moved(random.Random(seed)) for seed in range(5)]
+        assert sum(fractions) / len(fractions) <= 0.25
 
 
 def fraction_of_turns_moved(rng, n_programs=60, n_hosts=9, seconds=20.0):
-    """Return the part of turns that go to another engine than the one before."""
+    """Return the fraction of turns that go to another engine than the previous turn."""
     engines = [f"t{i}" for i in range(6)]
     own = [dict.fromkeys(engines, 0) for _ in range(n_hosts)]
-    told = [dict(counts) for counts in own]
-    last, n_turns, n_again = {}, 0, 0
+    reported = [dict(counts) for counts in own]
+    last, n_turns, n_moved = {}, 0, 0
     events = [(rng.random(), i, "begin", "") for i in range(n_programs)]
     events += [(0.2 * i, n_programs + i, "beacons", "") for i in range(100)]
     heapq.heapify(events)
     while events:
-        now, i, what, engine = heapq.heappop(events)
+        now, i, kind, engine = heapq.heappop(events)
         if now > seconds:
             break
-        if what == "beacons":
-            told = [dict(counts) for counts in own]
+        if kind == "beacons":
+            reported = [dict(counts) for counts in own]
             continue
         host = i % n_hosts
-        if what == "end":
+        if kind == "end":
             own[host][engine] -= 1
             if rng.random() < 0.15:
                 del last[i]
-            pause = now + rng.expovariate(1 / 0.08)
-            heapq.heappush(events, (pause, i, "begin", ""))
+            next_start = now + rng.expovariate(1 / 0.08)
+            heapq.heappush(events, (next_start, i, "begin", ""))
             continue
-        others = [told[h] for h in range(n_hosts) if h != host]
+        others = [reported[h] for h in range(n_hosts) if h != host]
         seen = {e: own[host][e] + sum(o[e] for o in others) for e in engines}
         candidates = [
             candidate(e, seen[e], "abc"[k % 3]) for k, e in enumerate(engines)
         ]
-        subject = f"subject{i % 16}"
-        chosen = choose_target(candidates, "abc"[host % 3], subject, last.get(i)).id
+        affinity_key = f"subject{i % 16}"
+        chosen = choose_target(
+            candidates, "abc"[host % 3], affinity_key, last.get(i)
+        ).id
         n_turns += i in last
-        n_again += i in last and chosen != last[i]
+        n_moved += i in last and chosen != last[i]
         last[i] = chosen
         own[host][chosen] += 1
         end = now + rng.uniform(0.1, 0.4)
         heapq.heappush(events, (end, i, "end", chosen))
-    return n_again / n_turns
+    return n_moved / n_turns
--- a/packages/swifttide_core/src/swifttide_core/forwarding/tests/test_routing_config.py
+++ b/packages/swifttide_core/src/swifttide_core/forwarding/tests/test_routing_config.py
@@ -1,4 +1,4 @@
-"""Looking up routes, keys and customers."""
+"""Tests of lookups of routes, API keys and customers."""
 
 from swifttide_core.forwarding import (
     CustomerTerms,
