--- a/benchmarks/limits/fleet.py
+++ b/benchmarks/limits/fleet.py
@@ -14,10 +14,10 @@
 from swifttide_core.limits import (
     CustomerShare,
     DrawFailed,
-    EntryAllowance,
-    NeedDraw,
-    ShareKeeper,
-    Taken,
+    DrawOrder,
+    EntryRateLimiter,
+    RateAdmitted,
+    ZoneShareManager,
     ZoneShares,
 )
 from swifttide_core.slots import SlotKind, preferred_host, slot_of
@@ -58,7 +58,7 @@
             for zone in self.zones
         }
         self.entries = [
-            EntryAllowance(f"h{i}", self._order(i, joins_zones))
+            EntryRateLimiter(f"h{i}", self._order(i, joins_zones))
             for i in range(scenario.n_hosts)
         ]
         self.outcome = Outcome([False] * len(scenario.arrivals))
@@ -103,15 +103,15 @@
 
     def _arrive(self, now, index, arrival):
         entry = self.entries[arrival.host]
-        answer = entry.take(now, self.customers[arrival.customer])
+        answer = entry.admit(now, self.customers[arrival.customer])
         self._go_on(now, index, arrival, answer)
 
     def _go_on(self, now, index, arrival, answer):
         match answer:
-            case Taken():
+            case RateAdmitted():
                 self.outcome.admit(index, now, arrival.customer)
                 self.outcome.waited_seconds += now - arrival.at
-            case NeedDraw():
+            case DrawOrder():
                 self.outcome.n_messages += 1
                 trip = self._trip(arrival.host, answer.zone)
                 self._at(now + trip, self._draw, index, arrival, answer)
@@ -153,7 +153,7 @@
         if share is None or cut:
             return
         holder = f"holder-{zone}"
-        answer = share.yield_to(now, holder, pull, FOREVER, zone=zone)
+        answer = share.answer_pull(now, holder, pull, FOREVER, zone=zone)
         at = now + cfg.OTHER_ZONE_TRIP
         self._at(at, self._settle_pull, name, zone, pull.draw_id, answer)
 
@@ -171,7 +171,7 @@
             self._send_returns(now, host)
 
     def _send_returns(self, now, host):
-        for order in self.entries[host].returns(now):
+        for order in self.entries[host].due_returns(now):
             self.outcome.n_messages += 1
             if self._reaches(host, order.zone):
                 trip = self._trip(host, order.zone)
@@ -180,7 +180,7 @@
     def _give_back(self, now, host, order):
         share = self._share(order.customer, order.zone)
         if share is not None:
-            share.give_back(now, f"h{host}", order.batch)
+            share.return_batch(now, f"h{host}", order.batch)
 
     def _trip(self, host, zone):
         own = self._is_own(host, zone)
@@ -214,7 +214,7 @@
         row, version = self.rows[name]
         customer = self.known[(name, zone)]
         zones = tuple(self.zones)
-        return ShareKeeper.from_row(
+        return ZoneShareManager.from_row(
             zone, zones, customer, row, version, now, unserved_since
         )
 
@@ -274,12 +274,12 @@
         keeper = self.keepers[(name, zone)]
         if keeper is None or (self.is_cut and zone == "z0"):
             return
-        keeper.learn(now, *self.rows[name])
+        keeper.apply_row(now, *self.rows[name])
         row = keeper.next_write(now)
         if row is None:
             return
         self.outcome.n_moves += 1
         self.rows[name] = (row, keeper.version + 1)
-        keeper.learn(now, *self.rows[name])
+        keeper.apply_row(now, *self.rows[name])
         for other in row.offers:
             self._at(now + cfg.OFFER_SECONDS, self._move, name, other)
--- a/benchmarks/limits/speed.py
+++ b/benchmarks/limits/speed.py
@@ -9,9 +9,9 @@
 
 from swifttide_core.documents import Customer
 from swifttide_core.limits import (
-    EntryAllowance,
-    NeedDraw,
-    ShareKeeper,
+    DrawOrder,
+    EntryRateLimiter,
+    ZoneShareManager,
     ZoneShares,
 )
 
@@ -27,12 +27,12 @@
 def _keeper(customer):
     row = ZoneShares.from_config(customer, ZONES)
     zone = next(iter(row.zones))
-    return ShareKeeper.from_row(zone, ZONES, customer, row, 1, 0.0, -FOREVER)
+    return ZoneShareManager.from_row(zone, ZONES, customer, row, 1, 0.0, -FOREVER)
 
 
 def _decide(now, entry, customer, keeper):
-    answer = entry.take(now, customer)
-    while isinstance(answer, NeedDraw):
+    answer = entry.admit(now, customer)
+    while isinstance(answer, DrawOrder):
         drawn = keeper.share.draw(
             now, "h", answer.wanted, FOREVER, draw_id=answer.draw_id, zone=answer.zone
         )
@@ -48,7 +48,7 @@
         keepers = [_keeper(customer) for customer in customers]
         held = tracemalloc.get_traced_memory()[0] / n
         tracemalloc.stop()
-        entry = EntryAllowance("h", ZONES)
+        entry = EntryRateLimiter("h", ZONES)
         for customer, keeper in zip(customers, keepers, strict=True):
             _decide(0.0, entry, customer, keeper)
         started = time.perf_counter()
@@ -56,7 +56,7 @@
             _decide(i * 0.001, entry, customers[i % n], keepers[i % n])
         spent = (time.perf_counter() - started) / N_DECISIONS
         tracemalloc.start()
-        other = EntryAllowance("h", ZONES)
+        other = EntryRateLimiter("h", ZONES)
         for customer, keeper in zip(customers, keepers, strict=True):
             _decide(1000.0, other, customer, keeper)
         known = tracemalloc.get_traced_memory()[0] / n
--- a/packages/swifttide_core/src/swifttide_core/limits/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/__init__.py
@@ -1,47 +1,51 @@
 """Rate and burst of a customer, counted over all hosts together."""
 
 from swifttide_core.limits._batch import Batch
-from swifttide_core.limits._customer_share import BATCH_SECONDS, CustomerShare
-from swifttide_core.limits._demand import Demand
+from swifttide_core.limits._customer_share import MAX_BATCH_TTL_SECONDS, CustomerShare
+from swifttide_core.limits._demand import SmoothedDemand
 from swifttide_core.limits._draw_failed import DrawFailed
-from swifttide_core.limits._entry_allowance import EntryAllowance
-from swifttide_core.limits._need_draw import NeedDraw
+from swifttide_core.limits._draw_order import DrawOrder
+from swifttide_core.limits._entry_rate_limiter import EntryRateLimiter
 from swifttide_core.limits._pull import Pull
+from swifttide_core.limits._rate_admitted import RateAdmitted
 from swifttide_core.limits._rate_refused import RateRefused
 from swifttide_core.limits._return_order import ReturnOrder
-from swifttide_core.limits._share_keeper import ShareKeeper
-from swifttide_core.limits._share_plan import GiveUp, Stay, plan_move
-from swifttide_core.limits._share_state import Lent, ShareState
-from swifttide_core.limits._taken import Taken
+from swifttide_core.limits._share_state import LentBatch, ShareState
+from swifttide_core.limits._share_transfer import (
+    NoTransfer,
+    TransferShare,
+    plan_transfer,
+)
 from swifttide_core.limits._token_bucket import TokenBucket
+from swifttide_core.limits._zone_share_manager import ZoneShareManager
 from swifttide_core.limits._zone_shares import (
     ZoneShares,
     check_zone_shares,
-    served_zones,
-    zone_order,
+    draw_zone_order,
+    zones_with_share,
 )
 
 __all__ = [
-    "BATCH_SECONDS",
+    "MAX_BATCH_TTL_SECONDS",
     "Batch",
     "CustomerShare",
-    "Demand",
     "DrawFailed",
-    "EntryAllowance",
-    "GiveUp",
-    "Lent",
-    "NeedDraw",
+    "DrawOrder",
+    "EntryRateLimiter",
+    "LentBatch",
+    "NoTransfer",
     "Pull",
+    "RateAdmitted",
     "RateRefused",
     "ReturnOrder",
-    "ShareKeeper",
     "ShareState",
-    "Stay",
-    "Taken",
+    "SmoothedDemand",
     "TokenBucket",
+    "TransferShare",
+    "ZoneShareManager",
     "ZoneShares",
     "check_zone_shares",
-    "plan_move",
-    "served_zones",
-    "zone_order",
+    "draw_zone_order",
+    "plan_transfer",
+    "zones_with_share",
 ]
--- a/packages/swifttide_core/src/swifttide_core/limits/_customer_share.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_customer_share.py
@@ -21,39 +21,39 @@
 
 from swifttide_core.documents import Customer
 from swifttide_core.limits._batch import Batch
-from swifttide_core.limits._demand import Demand
-from swifttide_core.limits._empty_zone import EmptyZone
+from swifttide_core.limits._demand import SmoothedDemand
 from swifttide_core.limits._pull import Pull
 from swifttide_core.limits._rate_refused import RateRefused
-from swifttide_core.limits._share_state import Lent, ShareState
-from swifttide_core.limits._token_bucket import TOLERANCE, TokenBucket
-from swifttide_core.limits._zone_shares import WHOLE
+from swifttide_core.limits._share_state import LentBatch, ShareState
+from swifttide_core.limits._token_bucket import TOKEN_TOLERANCE, TokenBucket
+from swifttide_core.limits._unavailable_zone import UnavailableZone
+from swifttide_core.limits._zone_shares import FULL_FRACTION
 
-BATCH_SECONDS = 1.0
+MAX_BATCH_TTL_SECONDS = 1.0
 """Life of a part of a token; longest life of any. What an entry host loses is out
 of use for so long."""
 
-SPEND_SECONDS = 0.1
+SINGLE_TOKEN_TTL_SECONDS = 0.1
 """Life of what another zone's holder gives, and of a token that is spent at once where
 so long a life holds up little."""
 
-HELD_UP = 0.25
+MAX_BLOCKED_REFILL_TOKENS = 0.25
 """Tokens that may fail to come in while one is on its way to be spent."""
 
-DRIFT_FACTOR = 1.01
+CLOCK_DRIFT_FACTOR = 1.01
 """How much longer the holder counts a batch as lent: the clocks of two hosts may
 run apart by up to one part in a hundred."""
 
-PLAN_SECONDS = 20.0
+DEMAND_TIME_CONSTANT_SECONDS = 20.0
 """Time constant of the demand per zone from which shares are moved."""
 
-PULL_BELOW = 0.75
+PULL_LEVEL_FRACTION = 0.75
 """Part of its room below which a zone asks the others to level out."""
 
-PULL_SECONDS = 0.2
+MIN_PULL_INTERVAL_SECONDS = 0.2
 """Least time between two such questions."""
 
-MIN_YIELD = 1.0
+MIN_TRANSFER_TOKENS = 1.0
 """Fewest tokens that are given: parts of a token would wander from zone to zone."""
 
 
@@ -86,12 +86,12 @@
         self._loans = {}
         self._lent = 0.0
         self._expiries = []
-        self._asked = {}
+        self._demand_by_zone = {}
         self._handed_over = False
-        self._pulls = {}
-        self._pull_at = float("-inf")
+        self._pending_pulls = {}
+        self._next_pull_at = float("-inf")
         self._n_pulls = 0
-        self._empty_zones = {}
+        self._unavailable_zones = {}
 
     @classmethod
     def from_config(
@@ -113,10 +113,10 @@
             Monotonic seconds, after the claim was committed.
         unserved_since : float or None
             Since when nobody can have served the customer in this zone: the end of
-            the former holder's lease; ``BATCH_SECONDS`` after a planned stop, since
-            what it has lent may be in use for so long; ``-inf`` where the row shows
+            the former holder's lease; ``MAX_BATCH_TTL_SECONDS`` after a planned stop,
+            since what it has lent may be in use for so long; ``-inf`` where the row shows
             that there never was a holder. None when nothing is known: it starts
-            empty, and with what comes in from ``BATCH_SECONDS`` after now.
+            empty, and with what comes in from ``MAX_BATCH_TTL_SECONDS`` after now.
 
         Returns
         -------
@@ -126,7 +126,9 @@
         rate = customer.rate_per_second * fraction
         burst = customer.burst * fraction
         bucket = TokenBucket.empty(rate, burst, now)
-        since = now + BATCH_SECONDS if unserved_since is None else unserved_since
+        since = (
+            now + MAX_BATCH_TTL_SECONDS if unserved_since is None else unserved_since
+        )
         if since > now:
             bucket.updated_at = since
         else:
@@ -154,7 +156,7 @@
         """
         share = cls.from_config(customer, fraction, now, now)
         for lent in state.lent:
-            share._record(lent.entry_host, lent.batch, now + lent.seconds_left)
+            share._record_loan(lent.entry_host, lent.batch, now + lent.seconds_left)
         share.bucket.level = min(state.level, share._room())
         return share
 
@@ -173,7 +175,7 @@
         draw_id: str,
         zone: str = "",
         partial: bool = False,
-        spend_seconds: float = SPEND_SECONDS,
+        spend_seconds: float = SINGLE_TOKEN_TTL_SECONDS,
         returned: tuple[Batch, ...] = (),
     ) -> Batch | RateRefused:
         """Lend tokens to an entry host.
@@ -207,19 +209,21 @@
         Batch or RateRefused
         """
         for batch in returned:
-            self.give_back(now, entry_host, batch)
+            self.return_batch(now, entry_host, batch)
         self._advance(now)
         if self._handed_over or now >= holder_lease_ends_at:
-            return RateRefused(BATCH_SECONDS)
+            return RateRefused(MAX_BATCH_TTL_SECONDS)
         known = self._loans.get((entry_host, draw_id))
         if known is not None:
             return known.batch
         if zone and not partial:
-            self._count(now, zone, 1.0)
-        tokens = self._size(wanted, partial)
-        if tokens <= TOLERANCE:
+            self._record_demand(now, zone, 1.0)
+        tokens = self._grantable_tokens(wanted, partial)
+        if tokens <= TOKEN_TOLERANCE:
             return self._refuse(now)
-        life = BATCH_SECONDS if partial else self._spend_life(spend_seconds)
+        life = (
+            MAX_BATCH_TTL_SECONDS if partial else self._single_token_ttl(spend_seconds)
+        )
         ttl = min(life, holder_lease_ends_at - now)
         return self._lend(now, entry_host, Batch(draw_id, tokens, ttl))
 
@@ -249,19 +253,23 @@
         """
         self._advance(now)
         level, room = self.bucket.level, self._room()
-        if now < self._pull_at or self.fraction >= WHOLE or level > PULL_BELOW * room:
+        if (
+            now < self._next_pull_at
+            or self.fraction >= FULL_FRACTION
+            or level > PULL_LEVEL_FRACTION * room
+        ):
             return ()
-        self._forget_old(now)
-        asked = [zone for zone in zones if zone not in self._empty_zones]
+        self._drop_expired_refusals(now)
+        asked = [zone for zone in zones if zone not in self._unavailable_zones]
         if not asked or self.bucket.burst <= 0.0:
             return ()
         if level >= 1.0:
             asked = [asked[self._n_pulls % len(asked)]]
-        self._pull_at = now + PULL_SECONDS
-        self._pulls = {}
-        return tuple(self._pull(now, holder, zone) for zone in asked)
+        self._next_pull_at = now + MIN_PULL_INTERVAL_SECONDS
+        self._pending_pulls = {}
+        return tuple(self._create_pull(now, holder, zone) for zone in asked)
 
-    def yield_to(
+    def answer_pull(
         self,
         now: float,
         holder: str,
@@ -301,10 +309,12 @@
         both_full = self.bucket.burst + pull.burst
         surplus = level - self.bucket.burst * (level + pull.level) / both_full
         tokens = min(surplus, pull.room - pull.level)
-        if tokens < MIN_YIELD:
+        if tokens < MIN_TRANSFER_TOKENS:
             return nothing
-        self._count(now, zone, tokens)
-        return self._lend(now, holder, Batch(pull.draw_id, tokens, SPEND_SECONDS))
+        self._record_demand(now, zone, tokens)
+        return self._lend(
+            now, holder, Batch(pull.draw_id, tokens, SINGLE_TOKEN_TTL_SECONDS)
+        )
 
     def settle_pull(
         self, now: float, draw_id: str, answer: Batch | RateRefused
@@ -315,7 +325,7 @@
         entry host needn't ask each zone for a customer that is beyond its rate.
         """
         self._advance(now)
-        pull = self._pulls.pop(draw_id, None)
+        pull = self._pending_pulls.pop(draw_id, None)
         if pull is None:
             return
         zone, sent_at = pull
@@ -324,11 +334,11 @@
                 level = min(self.bucket.level + tokens, self._room())
                 self.bucket.level = level
             case RateRefused():
-                self._empty_zones[zone] = EmptyZone.from_refusal(
-                    now, answer, PULL_SECONDS
+                self._unavailable_zones[zone] = UnavailableZone.from_refusal(
+                    now, answer, MIN_PULL_INTERVAL_SECONDS
                 )
 
-    def give_back(self, now: float, entry_host: str, batch: Batch) -> None:
+    def return_batch(self, now: float, entry_host: str, batch: Batch) -> None:
         """Take back what is left of a batch; a second time changes nothing."""
         self._advance(now)
         loan = self._loans.pop((entry_host, batch.draw_id), None)
@@ -346,13 +356,13 @@
         self.bucket.burst = customer.burst * fraction
         self.bucket.level = min(self.bucket.level, self._room())
 
-    def asked_per_second(self, now: float) -> dict[str, float]:
+    def demand_per_second(self, now: float) -> dict[str, float]:
         """Return the tokens a second asked for of late, by zone.
 
         Of the own zone the entry hosts' draws, refused ones too; of another zone
         what its holder got to level out.
         """
-        return {zone: demand.rate(now) for zone, demand in self._asked.items()}
+        return {zone: demand.rate(now) for zone, demand in self._demand_by_zone.items()}
 
     def hand_over(self, now: float) -> ShareState:
         """Stop lending, and return what the slot's next holder needs to go on.
@@ -362,68 +372,73 @@
         self._advance(now)
         self._handed_over = True
         lent = tuple(
-            Lent(entry_host, loan.batch, loan.expires_at - now)
+            LentBatch(entry_host, loan.batch, loan.expires_at - now)
             for (entry_host, _), loan in self._loans.items()
         )
         return ShareState(self.bucket.level, lent)
 
-    def within(self, now: float, burst: float) -> bool:
+    def fits_burst(self, now: float, burst: float) -> bool:
         """Return whether no more than ``burst`` can be admitted at once."""
         self._advance(now)
-        return self.bucket.level + self._lent <= burst + TOLERANCE
+        return self.bucket.level + self._lent <= burst + TOKEN_TOLERANCE
 
-    def _count(self, now, zone, tokens):
-        self._asked.setdefault(zone, Demand(now, PLAN_SECONDS)).arrive(now, tokens)
+    def _record_demand(self, now, zone, tokens):
+        self._demand_by_zone.setdefault(
+            zone, SmoothedDemand(now, DEMAND_TIME_CONSTANT_SECONDS)
+        ).record(now, tokens)
 
-    def _size(self, wanted, partial):
+    def _grantable_tokens(self, wanted, partial):
         level = self.bucket.level
-        if level + TOLERANCE >= wanted:
+        if level + TOKEN_TOLERANCE >= wanted:
             return wanted
         return level if partial else 0.0
 
-    def _spend_life(self, spend_seconds):
+    def _single_token_ttl(self, spend_seconds):
         """Return the life of a token that is spent as soon as it has arrived.
 
         At a low rate a long life holds up little, and a token that comes too late is
         a large part of the burst.
         """
-        cheap = SPEND_SECONDS
+        cheap = SINGLE_TOKEN_TTL_SECONDS
         if self.bucket.rate > 0.0:
-            cheap = min(cheap, HELD_UP / self.bucket.rate)
-        return min(max(spend_seconds, cheap), BATCH_SECONDS)
+            cheap = min(cheap, MAX_BLOCKED_REFILL_TOKENS / self.bucket.rate)
+        return min(max(spend_seconds, cheap), MAX_BATCH_TTL_SECONDS)
 
     def _lend(self, now, entry_host, batch):
         self.bucket.level = max(0.0, self.bucket.level - batch.tokens)
-        self._record(entry_host, batch, now + batch.ttl_seconds * DRIFT_FACTOR)
+        self._record_loan(
+            entry_host, batch, now + batch.ttl_seconds * CLOCK_DRIFT_FACTOR
+        )
         return batch
 
-    def _record(self, entry_host, batch, expires_at):
+    def _record_loan(self, entry_host, batch, expires_at):
         key = (entry_host, batch.draw_id)
         self._lent += batch.tokens
         self._loans[key] = _Loan(batch, expires_at)
         heapq.heappush(self._expiries, (expires_at, key))
 
-    def _pull(self, now, holder, zone):
+    def _create_pull(self, now, holder, zone):
         self._n_pulls += 1
         draw_id = f"{holder}-pull-{self._n_pulls}"
-        self._pulls[draw_id] = (zone, now)
+        self._pending_pulls[draw_id] = (zone, now)
         return Pull(zone, draw_id, self.bucket.level, self.bucket.burst, self._room())
 
     def _refuse(self, now):
-        self._forget_old(now)
+        self._drop_expired_refusals(now)
         others = {
-            zone: empty.as_refusal(now) for zone, empty in self._empty_zones.items()
+            zone: empty.as_refusal(now)
+            for zone, empty in self._unavailable_zones.items()
         }
         return replace(self._own_refusal(now), others=others)
 
     def _own_refusal(self, now):
         # While a whole burst is lent nothing comes in: told only of the rate, the
         # caller would come back too early and be refused again.
-        wait = self._blocked_seconds(now) + self.bucket.seconds_until(now)
+        wait = self._seconds_until_room(now) + self.bucket.seconds_until(now)
         bucket = self.bucket
         return RateRefused(wait, bucket.level, bucket.rate, self.fraction)
 
-    def _blocked_seconds(self, now):
+    def _seconds_until_room(self, now):
         room = self._room()
         if room >= 1.0:
             return 0.0
@@ -433,10 +448,10 @@
                 return max(0.0, expires_at - now)
         return 0.0
 
-    def _forget_old(self, now):
-        self._empty_zones = {
+    def _drop_expired_refusals(self, now):
+        self._unavailable_zones = {
             zone: empty
-            for zone, empty in self._empty_zones.items()
+            for zone, empty in self._unavailable_zones.items()
             if empty.until > now
         }
 
--- a/packages/swifttide_core/src/swifttide_core/limits/_need_draw.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_draw_order.py
@@ -6,8 +6,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NeedDraw:
-    """Send one draw, once, then pass its answer to ``EntryAllowance.settle``.
+class DrawOrder:
+    """Send one draw, once, then pass its answer to ``EntryRateLimiter.settle``.
 
     Parameters
     ----------
--- a/packages/swifttide_core/src/swifttide_core/limits/_taken.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_rate_admitted.py
@@ -4,5 +4,5 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class RateAdmitted:
     """A token was spent on the request."""
--- a/packages/swifttide_core/src/swifttide_core/limits/_share_state.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_share_state.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lent:
+class LentBatch:
     """A batch that an entry host may still use.
 
     Parameters
@@ -32,9 +32,9 @@
     ----------
     level : float
         Tokens that are not lent out.
-    lent : tuple of Lent
+    lent : tuple of LentBatch
         Batches that are.
     """
 
     level: float
-    lent: tuple[Lent, ...]
+    lent: tuple[LentBatch, ...]
--- a/packages/swifttide_core/src/swifttide_core/limits/_token_bucket.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_token_bucket.py
@@ -1,6 +1,6 @@
 """A token bucket on the caller's clock."""
 
-TOLERANCE = 1e-9
+TOKEN_TOLERANCE = 1e-9
 """Tokens by which rounding may fall short of a whole one."""
 
 
@@ -55,7 +55,7 @@
     def take(self, now: float, tokens: float = 1.0) -> bool:
         """Take tokens, all or none; return whether they were there."""
         self.refill(now)
-        if self.level + TOLERANCE < tokens:
+        if self.level + TOKEN_TOLERANCE < tokens:
             return False
         self.level = max(0.0, self.level - tokens)
         return True
@@ -63,8 +63,8 @@
     def seconds_until(self, now: float, tokens: float = 1.0) -> float:
         """Return the seconds until it holds ``tokens``; infinite if it never will."""
         self.refill(now)
-        if self.level + TOLERANCE >= tokens:
+        if self.level + TOKEN_TOLERANCE >= tokens:
             return 0.0
-        if tokens > self.burst + TOLERANCE or self.rate <= 0.0:
+        if tokens > self.burst + TOKEN_TOLERANCE or self.rate <= 0.0:
             return float("inf")
         return (tokens - self.level) / self.rate
--- a/packages/swifttide_core/src/swifttide_core/limits/_empty_zone.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_unavailable_zone.py
@@ -2,12 +2,12 @@
 
 from swifttide_core.limits._rate_refused import RateRefused
 
-BELIEVED_SECONDS = 1.0
+MAX_REFUSAL_CACHE_SECONDS = 1.0
 """Longest that a refusal is believed: tokens that another entry host gives back, a
 raised limit or a moved share are seen after this time."""
 
 
-class EmptyZone:
+class UnavailableZone:
     """A zone that had no whole token, or was not reached.
 
     Parameters
@@ -29,18 +29,20 @@
 
     @classmethod
     def from_refusal(
-        cls, now: float, refused: RateRefused, at_least: float = 0.0
-    ) -> "EmptyZone":
+        cls, now: float, refused: RateRefused, min_seconds: float = 0.0
+    ) -> "UnavailableZone":
         """Remember what a zone's holder said, for at least some seconds."""
-        wait = max(min(refused.retry_after_seconds, BELIEVED_SECONDS), at_least)
+        wait = max(
+            min(refused.retry_after_seconds, MAX_REFUSAL_CACHE_SECONDS), min_seconds
+        )
         return cls(now, now + wait, refused.available, refused.rate, refused.fraction)
 
     @classmethod
-    def unreached(cls, now: float, seconds: float) -> "EmptyZone":
+    def from_failure(cls, now: float, seconds: float) -> "UnavailableZone":
         """Remember that a zone's holder did not answer; nothing else is known."""
         return cls(now, now + seconds, 0.0, 0.0, 0.0)
 
-    def expected(self, now: float) -> float:
+    def expected_tokens(self, now: float) -> float:
         """Return the part of a token that is there, if nobody else takes it."""
         return self.available + self.rate * (now - self.since)
 
--- a/packages/swifttide_core/src/swifttide_core/limits/_share_keeper.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_zone_share_manager.py
@@ -12,11 +12,15 @@
 
 from swifttide_core.documents import Customer
 from swifttide_core.limits._customer_share import CustomerShare
-from swifttide_core.limits._share_plan import GiveUp, Stay, plan_move
+from swifttide_core.limits._share_transfer import (
+    NoTransfer,
+    TransferShare,
+    plan_transfer,
+)
 from swifttide_core.limits._zone_shares import ZoneShares
 
 
-class ShareKeeper:
+class ZoneShareManager:
     """What a slot's holder keeps for one customer.
 
     Parameters
@@ -46,7 +50,7 @@
         self.row = row
         self.version = version
         self.share = share
-        self._giving = Stay()
+        self._pending_transfer = NoTransfer()
 
     @classmethod
     def from_row(
@@ -58,23 +62,23 @@
         version: int,
         now: float,
         unserved_since: float | None = None,
-    ) -> "ShareKeeper":
+    ) -> "ZoneShareManager":
         """Start at a takeover, as ``CustomerShare.from_config`` does."""
         fraction = row.fraction(zone)
         share = CustomerShare.from_config(customer, fraction, now, unserved_since)
         return cls(zone, zones, customer, row, version, share)
 
     @property
-    def is_giving(self) -> bool:
+    def has_pending_transfer(self) -> bool:
         """Whether a part is out of use here and not yet given up in the row."""
-        return isinstance(self._giving, GiveUp)
+        return isinstance(self._pending_transfer, TransferShare)
 
     def set_customer(self, now: float, customer: Customer) -> None:
         """Put an edit in force."""
         self.customer = customer
-        self._apply(now)
+        self._apply_limits(now)
 
-    def learn(self, now: float, row: ZoneShares, version: int) -> None:
+    def apply_row(self, now: float, row: ZoneShares, version: int) -> None:
         """Take in a row that was read, or committed from here.
 
         An older one changes nothing.
@@ -82,10 +86,10 @@
         if version <= self.version:
             return
         if row.fraction(self.zone) < self.row.fraction(self.zone):
-            self._giving = Stay()
+            self._pending_transfer = NoTransfer()
         self.row = row
         self.version = version
-        self._apply(now)
+        self._apply_limits(now)
 
     def next_write(self, now: float) -> ZoneShares | None:
         """Return the row to commit now, conditional on ``version``, or None.
@@ -94,26 +98,26 @@
         whose answer was lost, by the next read.
         """
         if self.row.offers.get(self.zone, 0.0) > 0.0:
-            return self.row.take(self.zone)
-        if isinstance(self._giving, Stay):
-            self._giving = plan_move(
+            return self.row.with_offer_accepted(self.zone)
+        if isinstance(self._pending_transfer, NoTransfer):
+            self._pending_transfer = plan_transfer(
                 self.row,
                 self.zone,
                 self.zones,
-                self.share.asked_per_second(now),
+                self.share.demand_per_second(now),
                 self.customer,
             )
-            self._apply(now)
-        match self._giving:
-            case GiveUp(to_zone, fraction):
-                given = self.row.give(self.zone, to_zone, fraction)
+            self._apply_limits(now)
+        match self._pending_transfer:
+            case TransferShare(to_zone, fraction):
+                given = self.row.with_offer(self.zone, to_zone, fraction)
                 burst = self.customer.burst * given.fraction(self.zone)
-                return given if self.share.within(now, burst) else None
+                return given if self.share.fits_burst(now, burst) else None
         return None
 
-    def _apply(self, now):
+    def _apply_limits(self, now):
         fraction = self.row.fraction(self.zone)
-        match self._giving:
-            case GiveUp(_, given):
+        match self._pending_transfer:
+            case TransferShare(_, given):
                 fraction = max(0.0, fraction - given)
         self.share.set_limits(now, self.customer, fraction)
--- a/packages/swifttide_core/src/swifttide_core/limits/_zone_shares.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_zone_shares.py
@@ -23,17 +23,17 @@
 SUM_TOLERANCE = 1e-6
 """Rounding that the sum of the fractions may show."""
 
-WHOLE = 1.0 - 1e-6
+FULL_FRACTION = 1.0 - 1e-6
 """Fraction at which a zone has all there is, but for rounding."""
 
-MIN_MOVE = 0.05
+MIN_TRANSFER_FRACTION = 0.05
 """Smallest fraction that is worth two writes at the platform."""
 
-KEEP_FRACTION = 0.5
+MIN_KEPT_SHARE_FRACTION = 0.5
 """Part of an equal share that a zone never gives up, for when it is cut off."""
 
 
-MIN_ZONE_BURST = 8.0
+MIN_ZONE_BURST_TOKENS = 8.0
 """Burst below which a zone's share isn't worth having: parts of a token in five
 zones refuse a small customer that one bucket would serve."""
 
@@ -55,8 +55,8 @@
 
     @classmethod
     def from_config(cls, customer: Customer, zones: Iterable[str]) -> "ZoneShares":
-        """Divide equally among the zones that ``served_zones`` names."""
-        served = served_zones(customer, zones)
+        """Divide equally among the zones that ``zones_with_share`` names."""
+        served = zones_with_share(customer, zones)
         return cls(dict.fromkeys(served, 1.0 / len(served)), {})
 
     @classmethod
@@ -82,18 +82,18 @@
         """Return what a zone may use."""
         return self.zones.get(zone, 0.0)
 
-    def give(self, zone: str, to_zone: str, fraction: float) -> "ZoneShares":
+    def with_offer(self, zone: str, to_zone: str, fraction: float) -> "ZoneShares":
         """Return the row in which ``zone`` has given up a part for ``to_zone``.
 
         Commit it only after the holder in ``zone`` has stopped using that part
-        (``CustomerShare.set_limits``, then ``CustomerShare.within``).
+        (``CustomerShare.set_limits``, then ``CustomerShare.fits_burst``).
         """
         amount = min(fraction, self.fraction(zone))
         zones = {**self.zones, zone: self.fraction(zone) - amount}
         offers = {**self.offers, to_zone: self.offers.get(to_zone, 0.0) + amount}
         return ZoneShares(zones, offers)
 
-    def take(self, zone: str) -> "ZoneShares":
+    def with_offer_accepted(self, zone: str) -> "ZoneShares":
         """Return the row in which ``zone`` has taken what is offered to it.
 
         Use it only after it was committed.
@@ -103,7 +103,7 @@
         return ZoneShares({**self.zones, zone: self.fraction(zone) + amount}, offers)
 
 
-def served_zones(customer: Customer, zones: Iterable[str]) -> tuple[str, ...]:
+def zones_with_share(customer: Customer, zones: Iterable[str]) -> tuple[str, ...]:
     """Return the zones that a customer's rate and burst are divided among.
 
     As many as get ``MIN_ZONE_BURST`` tokens each, by rendezvous hashing.
@@ -112,11 +112,11 @@
         zones,
         key=lambda zone: xxhash.xxh64_intdigest(f"{customer.name}\0{zone}".encode()),
     )
-    n_served = max(1, min(len(ranked), int(customer.burst / MIN_ZONE_BURST)))
+    n_served = max(1, min(len(ranked), int(customer.burst / MIN_ZONE_BURST_TOKENS)))
     return tuple(ranked[:n_served])
 
 
-def zone_order(customer: Customer, zones: tuple[str, ...]) -> tuple[str, ...]:
+def draw_zone_order(customer: Customer, zones: tuple[str, ...]) -> tuple[str, ...]:
     """Return the zones in which an entry host draws, one after the other.
 
     Parameters
@@ -132,7 +132,7 @@
         The own zone if it has a share, other zones with one, then the rest, which
         may have got one by a move.
     """
-    served = served_zones(customer, zones)
+    served = zones_with_share(customer, zones)
     order = [zone for zone in zones[:1] if zone in served]
     order += [zone for zone in served if zone not in order]
     order += [zone for zone in zones if zone not in order]
--- a/packages/swifttide_core/src/swifttide_core/limits/tests/test_customer_share.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/tests/test_customer_share.py
@@ -3,7 +3,12 @@
 import pytest
 
 from swifttide_core.documents import Customer
-from swifttide_core.limits import BATCH_SECONDS, Batch, CustomerShare, RateRefused
+from swifttide_core.limits import (
+    MAX_BATCH_TTL_SECONDS,
+    Batch,
+    CustomerShare,
+    RateRefused,
+)
 
 CUSTOMER = Customer("c", 10.0, 20.0)
 FOREVER = float("inf")
@@ -26,19 +31,19 @@
 
 
 class TestTakeover:
-    def test_new_holder_of_unknown_past_starts_empty(self):
+    def test_takeover_without_history_starts_empty(self):
         """The former holder died after it had lent the whole burst. A successor that
         starts full lends it again, and the customer gets two bursts at once.
         """
         share = CustomerShare.from_config(CUSTOMER, 1.0, 100.0)
         assert drain(share, 100.0) == 0
-        assert drain(share, 100.0 + BATCH_SECONDS + 0.5) == 5
+        assert drain(share, 100.0 + MAX_BATCH_TTL_SECONDS + 0.5) == 5
 
-    def test_counts_what_came_in_since_nobody_served(self):
+    def test_takeover_refills_since_last_possible_service(self):
         share = CustomerShare.from_config(CUSTOMER, 1.0, 100.0, 99.5)
         assert drain(share, 100.0) == 5
 
-    def test_batch_ends_with_the_holders_lease(self):
+    def test_batch_expires_with_the_lease_of_the_holder(self):
         """A holder is paused right after it lent tokens, and another host takes its
         slot over. Tokens that live on would be admitted on top of the new holder's.
         """
@@ -48,7 +53,7 @@
     def test_nothing_is_lent_after_the_lease(self):
         assert isinstance(draw(full_share(), 5.0, "d", lease_ends_at=5.0), RateRefused)
 
-    def test_planned_stop_costs_no_burst(self):
+    def test_handover_keeps_the_burst(self):
         """A host is replaced on an ordinary day. If its customers' buckets started
         empty elsewhere, they would be refused for two seconds each time.
         """
@@ -69,28 +74,28 @@
         draw(share, 0.0, "a", wanted=10.0, partial=True)
         assert drain(share, 0.9) == 10
 
-    def test_same_draw_again_is_the_same_batch(self):
+    def test_repeated_draw_returns_the_same_batch(self):
         share = full_share()
         assert draw(share, 0.0, "a") == draw(share, 0.0, "a")
         assert drain(share, 0.0) == 19
 
-    def test_batch_given_back_twice_counts_once(self):
+    def test_repeated_return_of_a_batch_counts_once(self):
         """The answer to a return is lost and the return is sent again."""
         share = full_share()
         drain(share, 0.0)
         share = CustomerShare.from_config(CUSTOMER, 1.0, 0.0, -1.0)
         draw(share, 0.0, "a", wanted=4.0, partial=True)
         for _ in range(3):
-            share.give_back(0.0, "h", Batch("a", 4.0, 0.0))
+            share.return_batch(0.0, "h", Batch("a", 4.0, 0.0))
         assert drain(share, 0.0) == 10
 
-    def test_no_more_comes_back_than_was_lent(self):
+    def test_return_is_limited_to_the_lent_tokens(self):
         share = CustomerShare.from_config(CUSTOMER, 1.0, 0.0, -1.0)
         draw(share, 0.0, "a", wanted=4.0, partial=True)
-        share.give_back(0.0, "h", Batch("a", 99.0, 0.0))
+        share.return_batch(0.0, "h", Batch("a", 99.0, 0.0))
         assert drain(share, 0.0) == 10
 
-    def test_expired_tokens_are_gone(self):
+    def test_expired_tokens_are_not_restored(self):
         """The entry host may have spent them without telling. Put back, they would
         be admitted a second time.
         """
@@ -99,7 +104,7 @@
         draw(share, 0.0, "a", wanted=20.0, partial=True)
         assert drain(share, 100.0) == 0
 
-    def test_refusal_tells_when_to_come_back(self):
+    def test_retry_after_is_sufficient(self):
         """A caller that comes back when it was told to, alone, is served."""
         share = full_share()
         drain(share, 0.0)
@@ -109,52 +114,52 @@
 
 
 class TestEdit:
-    def test_lower_burst_is_in_force_at_once(self):
+    def test_lower_burst_applies_immediately(self):
         share = full_share()
         share.set_limits(0.0, Customer("c", 10.0, 3.0), 1.0)
         assert drain(share, 0.0) == 3
 
-    def test_raised_burst_is_no_gift(self):
+    def test_raised_burst_adds_no_tokens(self):
         share = full_share()
         drain(share, 0.0)
         share.set_limits(0.0, Customer("c", 10.0, 99.0), 1.0)
         assert drain(share, 0.0, "e") == 0
 
 
-class TestLevelling:
-    def halves(self):
+class TestPulls:
+    def empty_and_full_share(self):
         empty = CustomerShare.from_config(CUSTOMER, 0.5, 0.0, 0.0)
         full = CustomerShare.from_config(CUSTOMER, 0.5, 0.0, float("-inf"))
         (pull,) = empty.next_pulls(0.0, "a", ("b",))
         return empty, full, pull
 
-    def test_tokens_move_to_the_zone_that_is_short(self):
+    def test_tokens_move_to_the_zone_with_the_lower_level(self):
         """All requests of a customer arrive in one zone. Its tokens in the other run
         over while it is refused, though it is inside its rate.
         """
-        empty, full, pull = self.halves()
-        answer = full.yield_to(0.0, "a", pull, FOREVER)
+        empty, full, pull = self.empty_and_full_share()
+        answer = full.answer_pull(0.0, "a", pull, FOREVER)
         empty.settle_pull(0.001, pull.draw_id, answer)
         assert drain(empty, 0.001) == 5
         assert drain(full, 0.001) == 5
 
-    def test_late_answer_adds_nothing(self):
+    def test_late_pull_answer_adds_nothing(self):
         """The answer was held up until the giving zone had filled up again."""
-        empty, full, pull = self.halves()
-        answer = full.yield_to(0.0, "a", pull, FOREVER)
+        empty, full, pull = self.empty_and_full_share()
+        answer = full.answer_pull(0.0, "a", pull, FOREVER)
         empty.settle_pull(0.2, pull.draw_id, answer)
         assert drain(empty, 0.2) == 1
 
-    def test_answer_twice_adds_once(self):
-        empty, full, pull = self.halves()
-        answer = full.yield_to(0.0, "a", pull, FOREVER)
+    def test_repeated_pull_answer_counts_once(self):
+        empty, full, pull = self.empty_and_full_share()
+        answer = full.answer_pull(0.0, "a", pull, FOREVER)
         empty.settle_pull(0.001, pull.draw_id, answer)
         empty.settle_pull(0.001, pull.draw_id, answer)
         assert drain(empty, 0.001) == 5
 
-    def test_empty_zone_is_passed_on_with_refusals(self):
-        empty, other, pull = self.halves()
+    def test_refusals_report_other_empty_zones(self):
+        empty, other, pull = self.empty_and_full_share()
         drain(other, 0.0)
-        answer = other.yield_to(0.0, "a", pull, FOREVER)
+        answer = other.answer_pull(0.0, "a", pull, FOREVER)
         empty.settle_pull(0.001, pull.draw_id, answer)
         assert set(draw(empty, 0.002, "x").others) == {"b"}
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_held_share.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_held_share.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from swifttide_core.limits import CustomerShare, ShareKeeper
+from swifttide_core.limits import CustomerShare, ZoneShareManager
 
 
 @dataclass(slots=True)
@@ -13,7 +13,7 @@
     ----------
     epoch : int
         Epoch of the slot under which it was made.
-    keeper : ShareKeeper
+    keeper : ZoneShareManager
     plan_at : float
         Monotonic seconds of the next thought about moving a part of it.
     offered : bool
@@ -21,7 +21,7 @@
     """
 
     epoch: int
-    keeper: ShareKeeper
+    keeper: ZoneShareManager
     plan_at: float = 0.0
     offered: bool = False
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_rate_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_rate_limiter.py
@@ -9,11 +9,11 @@
 from swifttide_core.limits import (
     Batch,
     DrawFailed,
-    EntryAllowance,
-    NeedDraw,
+    DrawOrder,
+    EntryRateLimiter,
+    RateAdmitted,
     RateRefused,
     ReturnOrder,
-    Taken,
 )
 from swifttide_core.slots import SlotKind
 from swifttide_core.verdicts import Reason, Refusal
@@ -44,7 +44,7 @@
         self.membership = membership
         self.peers = peers
         self.shares = shares
-        self._allowance: EntryAllowance | None = None
+        self._allowance: EntryRateLimiter | None = None
         self._incarnation = ""
         self._zones: tuple[str, ...] = ()
         self._lock = threading.Lock()
@@ -77,23 +77,23 @@
     def _try(self, customer: Customer) -> Refusal | None:
         with self._lock:
             allowance = self._current()
-            answer = allowance.take(time.monotonic(), customer)
-        while isinstance(answer, NeedDraw):
+            answer = allowance.admit(time.monotonic(), customer)
+        while isinstance(answer, DrawOrder):
             drawn = self._draw(answer)
             with self._lock:
                 settled = allowance.settle(time.monotonic(), answer.draw_id, drawn)
             answer = settled if settled is not None else RateRefused(RETURN_SECONDS)
-        if isinstance(answer, Taken):
+        if isinstance(answer, RateAdmitted):
             return None
         return _refusal(answer)
 
-    def _current(self) -> EntryAllowance:
+    def _current(self) -> EntryRateLimiter:
         """Return the allowance, a new one after this host lost its lease."""
         me = self.membership.me
         zones = (me.zone, *(z for z in self.membership.zones() if z != me.zone))
         if self._allowance is None or self._incarnation != me.incarnation:
             self._incarnation = me.incarnation
-            self._allowance = EntryAllowance(self._entry_host(), zones)
+            self._allowance = EntryRateLimiter(self._entry_host(), zones)
         self._allowance.zones = zones
         return self._allowance
 
@@ -101,7 +101,7 @@
         me = self.membership.me
         return f"{me.host}-{me.incarnation}"
 
-    def _draw(self, need: NeedDraw) -> Batch | RateRefused | DrawFailed:
+    def _draw(self, need: DrawOrder) -> Batch | RateRefused | DrawFailed:
         req = DrawRequest(
             entry_host=self._entry_host(),
             entry_zone=self.membership.me.zone,
@@ -130,7 +130,7 @@
         while not self._stop.wait(RETURN_SECONDS):
             with self._lock:
                 allowance = self._allowance
-                orders = allowance.returns(time.monotonic()) if allowance else ()
+                orders = allowance.due_returns(time.monotonic()) if allowance else ()
             for order in orders:
                 self._return(order)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_mover.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_mover.py
@@ -75,7 +75,7 @@
         if now < held.plan_at:
             return
         row = self.shares.next_write(held)
-        held.plan_at = now if held.keeper.is_giving else now + PLAN_SECONDS
+        held.plan_at = now if held.keeper.has_pending_transfer else now + PLAN_SECONDS
         if row is not None:
             self._write(name, held, row)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_service.py
@@ -11,12 +11,12 @@
 from swifttide_core.configuration import Change
 from swifttide_core.documents import Customer, DocumentKind
 from swifttide_core.limits import (
-    BATCH_SECONDS,
+    MAX_BATCH_TTL_SECONDS,
     Batch,
     CustomerShare,
     Pull,
     RateRefused,
-    ShareKeeper,
+    ZoneShareManager,
     ZoneShares,
 )
 from swifttide_core.slots import SlotKind
@@ -92,7 +92,7 @@
     def learn(self, held: HeldShare, stored: StoredShares) -> None:
         """Put a row in force that was read."""
         with self._lock:
-            held.keeper.learn(time.monotonic(), stored.shares, stored.version)
+            held.keeper.apply_row(time.monotonic(), stored.shares, stored.version)
 
     def draw(self, customer: str, req: DrawRequest) -> Result[DrawAnswer, Refusal]:
         """Lend tokens of a customer to an entry host."""
@@ -133,7 +133,7 @@
         with self._lock:
             held = self._held.get(customer)
             if held is not None:
-                held.share.give_back(time.monotonic(), req.entry_host, req.batch)
+                held.share.return_batch(time.monotonic(), req.entry_host, req.batch)
 
     def yield_to(self, customer: str, req: YieldRequest) -> Result[DrawAnswer, Refusal]:
         """Give another zone's holder a part of the level."""
@@ -143,7 +143,7 @@
         with self._lock:
             now = time.monotonic()
             lease_ends_at = now + self.membership.lease_remaining()
-            answer = found.ok.share.yield_to(
+            answer = found.ok.share.answer_pull(
                 now, req.holder, req.pull, lease_ends_at, zone=req.zone
             )
             offered = req.zone in found.ok.keeper.row.offers
@@ -197,11 +197,11 @@
 
     def _new_keeper(
         self, customer: Customer, stored: StoredShares, epoch: int
-    ) -> ShareKeeper:
+    ) -> ZoneShareManager:
         fraction = stored.shares.fraction(self._zone)
         share = self._new_share(customer, fraction, epoch, stored.created)
         zones = tuple(self.membership.zones())
-        return ShareKeeper(
+        return ZoneShareManager(
             self._zone, zones, customer, stored.shares, stored.version, share
         )
 
@@ -218,7 +218,7 @@
         # out of use a batch's life later; what came in from then on is there, although
         # the bucket is only made now.
         claimed_at = self.membership.held_since(SlotKind.CUSTOMER, customer.name)
-        since = None if claimed_at is None else claimed_at + BATCH_SECONDS
+        since = None if claimed_at is None else claimed_at + MAX_BATCH_TTL_SECONDS
         if never_served:
             since = float("-inf")
         return CustomerShare.from_config(
--- a/tests/fuzz/test_limits_fuzz.py
+++ b/tests/fuzz/test_limits_fuzz.py
@@ -7,13 +7,13 @@
 
 from swifttide_core.documents import Customer
 from swifttide_core.limits import (
-    BATCH_SECONDS,
+    MAX_BATCH_TTL_SECONDS,
     CustomerShare,
-    EntryAllowance,
-    NeedDraw,
+    DrawOrder,
+    EntryRateLimiter,
     Pull,
-    ShareKeeper,
-    Taken,
+    RateAdmitted,
+    ZoneShareManager,
     ZoneShares,
 )
 from tests.fuzz._settings import run_fuzz
@@ -49,7 +49,7 @@
     name: str
     zone: str
     epoch: int
-    keeper: ShareKeeper
+    keeper: ZoneShareManager
     lease_ends_at: float
     paused: bool = False
 
@@ -94,7 +94,7 @@
 
     def admit(self, now):
         for burst, exceeded_at in self.exceeded_at.items():
-            if now - exceeded_at > 1.1 * BATCH_SECONDS:
+            if now - exceeded_at > 1.1 * MAX_BATCH_TTL_SECONDS:
                 self.pressure[burst] += 1.0
             else:
                 self.pressure[burst] = 0.0
@@ -159,16 +159,16 @@
         for _ in range(20):
             self.n_names += 1
             pull = Pull(zone, f"lean{self.n_names}", 0.0, burst, burst)
-            asked.keeper.share.yield_to(
+            asked.keeper.share.answer_pull(
                 self.now, asking.name, pull, asked.lease_ends_at, zone=to_zone
             )
             self.wait(0.3)
         self.move_shares(fates[0])
         self.wait(1.2)
         self.move_shares(fates[0])
-        asking.keeper.learn(self.now, self.platform.row, self.platform.version)
+        asking.keeper.apply_row(self.now, self.platform.row, self.platform.version)
         self.move_shares(fates[1])
-        asking.keeper.learn(self.now, self.platform.row, self.platform.version)
+        asking.keeper.apply_row(self.now, self.platform.row, self.platform.version)
         self.drain(8.0, (), True, KINDS, again)
 
     @rule(
@@ -182,7 +182,7 @@
         self.wait(rest)
         entry = self.entries[who % len(self.entries)]
         for _ in range(n_calls):
-            self._go_on(entry, entry.take(self._clock(), self.customer))
+            self._go_on(entry, entry.admit(self._clock(), self.customer))
         if reach:
             self.deliver("draw", False, False, False)
 
@@ -198,7 +198,7 @@
             self.platform.commit(holder, row, version)
             if fate == "answered":
                 row, version = self.platform.row, self.platform.version
-                holder.keeper.learn(self.now, row, version)
+                holder.keeper.apply_row(self.now, row, version)
 
     @rule()
     def read_rows(self):
@@ -251,7 +251,7 @@
         if self.now >= holder.lease_ends_at:
             return
         state = holder.keeper.share.hand_over(self.now)
-        successor = self._claim(zone, self.now + BATCH_SECONDS)
+        successor = self._claim(zone, self.now + MAX_BATCH_TTL_SECONDS)
         if not state_lost:
             fraction = self.platform.row.fraction(zone)
             successor.keeper.share = CustomerShare.from_handover(
@@ -271,16 +271,16 @@
 
     def _drain(self, entry, levels_out):
         for _ in range(MAX_CALLS):
-            answer = entry.take(self._clock(), self.customer)
-            while isinstance(answer, NeedDraw):
+            answer = entry.admit(self._clock(), self.customer)
+            while isinstance(answer, DrawOrder):
                 holder = self.current[answer.zone]
                 drawn = self._draw(entry, answer, holder, levels_out)
                 answer = entry.settle(self._clock(), answer.draw_id, drawn)
             self._note(answer)
-            if not isinstance(answer, Taken):
+            if not isinstance(answer, RateAdmitted):
                 break
         # Parts that didn't make up a token are on their way back.
-        for order in entry.returns(self._clock()):
+        for order in entry.due_returns(self._clock()):
             holder = self.current[order.zone]
             self.messages.append(("return", entry, order, holder))
 
@@ -292,14 +292,14 @@
         self.n_names += 1
         own = index % len(ZONES)
         zones = (ZONES[own], *(z for z in ZONES if z != ZONES[own]))
-        return EntryAllowance(f"e{self.n_names}", zones)
+        return EntryRateLimiter(f"e{self.n_names}", zones)
 
     def _claim(self, zone, unserved_since):
         self._note_limits()
         self.n_names += 1
         self.platform.epochs[zone] += 1
         row, version = self.platform.row, self.platform.version
-        keeper = ShareKeeper.from_row(
+        keeper = ZoneShareManager.from_row(
             zone, ZONES, self.customer, row, version, self.now, unserved_since
         )
         lease_ends_at = self.now + LEASE_SECONDS
@@ -315,13 +315,13 @@
         self.oracle.note_limits(self.now, in_use or [self.customer])
 
     def _note(self, answer):
-        if isinstance(answer, Taken):
+        if isinstance(answer, RateAdmitted):
             self._note_limits()
             self.oracle.admit(self.now)
 
     def _go_on(self, entry, answer):
         self._note(answer)
-        if isinstance(answer, NeedDraw):
+        if isinstance(answer, DrawOrder):
             holder = self.current[answer.zone]
             self.messages.append(("draw", entry, answer, holder))
 
@@ -356,9 +356,9 @@
                 self._go_on(sender, sender.settle(self._clock(), message, receiver))
             case "return":
                 share = receiver.keeper.share
-                share.give_back(self.now, sender.host, message.batch)
+                share.return_batch(self.now, sender.host, message.batch)
             case "pull":
-                answer = receiver.keeper.share.yield_to(
+                answer = receiver.keeper.share.answer_pull(
                     self.now,
                     sender.name,
                     message,
@@ -371,7 +371,7 @@
             case "write":
                 self.platform.commit(sender, message, receiver)
             case "row":
-                sender.keeper.learn(self.now, message, receiver)
+                sender.keeper.apply_row(self.now, message, receiver)
 
 
 class TestLimits:
