--- a/packages/swifttide_core/src/swifttide_core/limits/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Rate and burst of a customer, counted over all hosts together."""
+"""Rate limits per customer, enforced over all hosts together."""
 
 from swifttide_core.limits._batch import Batch
 from swifttide_core.limits._customer_share import MAX_BATCH_TTL_SECONDS, CustomerShare
--- a/packages/swifttide_core/src/swifttide_core/limits/_batch.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_batch.py
@@ -1,4 +1,4 @@
-"""Tokens that a holder lends to an entry host for a short time."""
+"""Tokens that the holder of a customer lends to an entry host for a short time."""
 
 from dataclasses import dataclass
 
@@ -10,11 +10,11 @@
     Parameters
     ----------
     draw_id : str
-        The draw that it answers; the same id twice is the same batch.
+        Id of the draw that the batch answers. Repeated ids denote the same batch.
     tokens : float
-        Requests that it admits; when given back, what was left unspent.
+        Number of requests that it admits; in a returned batch, the unspent tokens.
     ttl_seconds : float
-        Validity, counted by the entry host from BEFORE it sent the draw.
+        Lifetime, which the entry host counts from the time before it sent the draw.
     """
 
     draw_id: str
--- a/packages/swifttide_core/src/swifttide_core/limits/_customer_share.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_customer_share.py
@@ -1,19 +1,22 @@
-"""A customer's share of rate and burst in one zone, at the slot's holder.
-
-Load pattern: one customer's requests arrive at any entry host of the zone, at
-several times its rate, in bursts, or at less than one request per host and
-second; the holder may be paused past its lease, replaced, or edited meanwhile.
-
-Without it: a fixed split per host refuses most requests of a customer whose burst
-is smaller than the number of hosts, and a bucket per host without a split admits
-the rate once per host.
-
-Grounds: tokens that are lent out count against the burst until they are given
-back or have expired, so ``level + lent <= burst`` holds at every moment. What may
-be admitted in a window is at most that sum at its start plus what comes in, which
-is ``burst + rate * window``. A batch ends with the holder's lease, so that a new
-holder, which starts after that lease, finds nothing of the old one's in use.
-The figures below are measured in docs/measurements-limits.md.
+"""Share of a customer's rate and burst in one zone, managed by the holder of its slot.
+
+The holder has a token bucket per customer and lends tokens to entry hosts in small
+batches with a short lifetime.
+
+Load pattern: requests of one customer arrive at any entry host of the zone, at several
+times its rate, in bursts, or with less than one request per host and second. Meanwhile,
+the holder may be paused beyond its lease, replaced, or its limits be edited.
+
+A fixed division among the hosts would refuse most requests of a customer whose burst is
+smaller than the number of hosts. An undivided bucket per host would admit the rate once
+per host.
+
+Lent tokens count against the burst until they are returned or expire, so that
+``level + lent <= burst`` always holds. The requests admitted in a time window are at
+most this sum at its start plus the refill, which is ``burst + rate * window``. A batch
+expires with the lease of the holder. A new holder, which starts after that lease,
+therefore finds none of the old holder's tokens in use. The measurements are in
+docs/measurements-limits.md.
 """
 
 import heapq
@@ -30,35 +33,38 @@
 from swifttide_core.limits._zone_shares import FULL_FRACTION
 
 MAX_BATCH_TTL_SECONDS = 1.0
-"""Life of a part of a token; longest life of any. What an entry host loses is out
-of use for so long."""
+"""Lifetime of a batch with less than a whole token, and maximum lifetime of any batch.
+Tokens that an entry host loses are unusable for this time."""
 
 SINGLE_TOKEN_TTL_SECONDS = 0.1
-"""Life of what another zone's holder gives, and of a token that is spent at once where
-so long a life holds up little."""
+"""Lifetime of tokens for another zone's holder, and minimum lifetime of a token that is
+spent on arrival, unless ``MAX_BLOCKED_REFILL_TOKENS`` requires less."""
 
 MAX_BLOCKED_REFILL_TOKENS = 0.25
-"""Tokens that may fail to come in while one is on its way to be spent."""
+"""Maximum refill, in tokens, that one lent token may block during the minimum
+lifetime."""
 
 CLOCK_DRIFT_FACTOR = 1.01
-"""How much longer the holder counts a batch as lent: the clocks of two hosts may
-run apart by up to one part in a hundred."""
+"""Factor by which the holder extends the lifetime of a lent batch, since the clocks of
+two hosts may drift apart by up to 1%."""
 
 DEMAND_TIME_CONSTANT_SECONDS = 20.0
-"""Time constant of the demand per zone from which shares are moved."""
+"""Time constant of the demand per zone that transfers of shares are based on."""
 
 PULL_LEVEL_FRACTION = 0.75
-"""Part of its room below which a zone asks the others to level out."""
+"""Fill level, as a fraction of the maximum level, at or below which a zone asks other
+zones for tokens."""
 
 MIN_PULL_INTERVAL_SECONDS = 0.2
-"""Least time between two such questions."""
+"""Minimum time between two rounds of pulls."""
 
 MIN_TRANSFER_TOKENS = 1.0
-"""Fewest tokens that are given: parts of a token would wander from zone to zone."""
+"""Minimum number of tokens that are given to another zone. Smaller amounts would be
+moved back and forth between zones."""
 
 
 class _Loan:
-    """A batch that is lent out, and until when."""
+    """Lent batch with its expiry time at the holder."""
 
     def __init__(self, batch, expires_at):
         self.batch = batch
@@ -66,18 +72,18 @@
 
 
 class CustomerShare:
-    """Bucket of one customer in one zone, lent out in small batches.
+    """Token bucket of one customer in one zone, lent out in small batches.
 
     Parameters
     ----------
     bucket : TokenBucket
-        Tokens that are not lent out.
+        Bucket with the tokens that are not lent out.
     fraction : float
-        Part of the customer's rate and burst.
+        Fraction of the customer's rate and burst.
 
     Notes
     -----
-    The host that holds the customer's slot keeps it, and drops it with the slot.
+    The host that holds the customer's slot has the share, and drops it with the slot.
     """
 
     def __init__(self, bucket, fraction):
@@ -101,27 +107,28 @@
         now: float,
         unserved_since: float | None = None,
     ) -> "CustomerShare":
-        """Start a share at a takeover.
+        """Start a share at a takeover of the slot.
 
         Parameters
         ----------
         customer : Customer
             Rate and burst over all hosts.
         fraction : float
-            Part of both that the zone has, from the platform's ``shares`` row.
+            Fraction of both for the zone, from the platform's ``shares`` row.
         now : float
             Monotonic seconds, after the claim was committed.
         unserved_since : float or None
-            Since when nobody can have served the customer in this zone: the end of
-            the former holder's lease; ``MAX_BATCH_TTL_SECONDS`` after a planned stop,
-            since what it has lent may be in use for so long; ``-inf`` where the row shows
-            that there never was a holder. None when nothing is known: it starts
-            empty, and with what comes in from ``MAX_BATCH_TTL_SECONDS`` after now.
+            Time since which no other holder can have served the customer in this zone:
+            the end of the former holder's lease, ``MAX_BATCH_TTL_SECONDS`` after a
+            planned stop, since its lent batches may be in use until then, or ``-inf``
+            if the row shows that there never was a holder. If None, nothing is known,
+            and the share starts empty with a refill from ``MAX_BATCH_TTL_SECONDS``
+            after now.
 
         Returns
         -------
         CustomerShare
-            With the tokens that came in since ``unserved_since``.
+            Share with the refill since ``unserved_since``.
         """
         rate = customer.rate_per_second * fraction
         burst = customer.burst * fraction
@@ -139,18 +146,18 @@
     def from_handover(
         cls, customer: Customer, fraction: float, state: ShareState, now: float
     ) -> "CustomerShare":
-        """Go on where the former holder has stopped.
+        """Continue with the state of the former holder.
 
         Parameters
         ----------
         customer : Customer
             Rate and burst over all hosts.
         fraction : float
-            Part of both that the zone has.
+            Fraction of both for the zone.
         state : ShareState
-            From ``hand_over``, received by the one host that claimed the slot with
-            the epoch that the former holder named. However late it comes, it
-            holds too little, never too much.
+            State from ``hand_over``, received by the one host that claimed the slot
+            with the epoch that the former holder named. If it arrives late, it has too
+            few tokens, never too many.
         now : float
             Monotonic seconds, after the claim was committed.
         """
@@ -185,24 +192,25 @@
         now : float
             Monotonic seconds at the holder.
         entry_host : str
-            Host AND incarnation of the one that draws.
+            Host and incarnation of the entry host that draws.
         wanted : float
-            Tokens that the waiting request needs: one, or what is missing to one.
+            Tokens that the waiting request needs: one, or the missing fraction of one.
         holder_lease_ends_at : float
-            End of the holder's own lease, counted from before its renewal was sent.
+            End of this holder's lease, counted from the time before its renewal was
+            sent.
         draw_id : str
-            The same id again gets the same batch.
+            Id of the draw. A repeated id gets the same batch.
         zone : str
-            The own zone for an entry host of it, for ``asked_per_second``; empty
-            for one of another zone, whose holder may be dead.
+            This zone if the entry host belongs to it, for ``demand_per_second``. Empty
+            for an entry host of another zone, whose holder may have failed.
         partial : bool
-            Whether less than that is of use.
+            Whether fewer tokens than wanted are accepted.
         spend_seconds : float
-            Life of a token, which the waiting request spends as soon as it has the
-            answer. It counts as lent for no longer: counted for seconds, the tokens
-            that many hosts have spent would hold up the refill of a whole burst.
+            Lifetime of a token, which the waiting request spends on arrival. The token
+            counts as lent only for this time. If it counted for seconds, the spent
+            tokens of many hosts would block the refill of a whole burst.
         returned : tuple of Batch
-            Batches that the entry host has done with.
+            Batches that the entry host no longer needs.
 
         Returns
         -------
@@ -221,35 +229,35 @@
         tokens = self._grantable_tokens(wanted, partial)
         if tokens <= TOKEN_TOLERANCE:
             return self._refuse(now)
-        life = (
+        max_ttl = (
             MAX_BATCH_TTL_SECONDS if partial else self._single_token_ttl(spend_seconds)
         )
-        ttl = min(life, holder_lease_ends_at - now)
+        ttl = min(max_ttl, holder_lease_ends_at - now)
         return self._lend(now, entry_host, Batch(draw_id, tokens, ttl))
 
     def next_pulls(
         self, now: float, holder: str, zones: tuple[str, ...]
     ) -> tuple[Pull, ...]:
-        """Return the orders to ask other zones' holders for part of their level.
+        """Return the pulls to send to the holders of other zones.
 
-        Call it after each draw and send what it returns, once. A zone that is full
-        loses what comes in there; without this a customer would be refused in one
-        zone while its tokens ran over in another.
+        Call it after each draw and send each returned pull once. A full bucket loses
+        its refill. Without pulls, a customer would be refused in one zone while its
+        bucket overflows in another.
 
         Parameters
         ----------
         now : float
-            Monotonic seconds, from which the answers' life counts.
+            Monotonic seconds. The lifetime of the answers is counted from this time.
         holder : str
-            This host and incarnation, for the draw ids.
+            Name and incarnation of this host, used in draw ids.
         zones : tuple of str
             The other zones.
 
         Returns
         -------
         tuple of Pull
-            To one zone in turn; to all of which nothing is known when there is no
-            whole token left here.
+            Pulls to zones without a cached refusal: to all of them if no whole token is
+            left here, otherwise to one, in rotation.
         """
         self._advance(now)
         level, room = self.bucket.level, self._room()
@@ -278,39 +286,39 @@
         *,
         zone: str = "",
     ) -> Batch | RateRefused:
-        """Give another zone's holder what makes both equally full; maybe nothing.
+        """Give another zone's holder the tokens that equalize both fill levels, if any.
 
-        The tokens count as lent until the answer can no longer be accepted, so that
-        a late answer can't add to a burst that has come in here again.
+        The tokens count as lent until the answer can no longer be accepted, so that a
+        late answer cannot add tokens to a burst that was refilled here meanwhile.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         holder : str
-            Host and incarnation that asks.
+            Host and incarnation of the asking holder.
         pull : Pull
-            Its question.
+            Pull of the asking holder.
         holder_lease_ends_at : float
-            End of the own lease.
+            End of this holder's lease.
         zone : str
-            Of the one that asks, for ``asked_per_second``.
+            Zone of the asking holder, for ``demand_per_second``.
         """
         self._advance(now)
         known = self._loans.get((holder, pull.draw_id))
         if known is not None:
             return known.batch
-        nothing = Batch(pull.draw_id, 0.0, 0.0)
+        empty_batch = Batch(pull.draw_id, 0.0, 0.0)
         if self._handed_over or now >= holder_lease_ends_at:
-            return nothing
+            return empty_batch
         level = self.bucket.level
         if level < 1.0:
             return self._own_refusal(now)
-        both_full = self.bucket.burst + pull.burst
-        surplus = level - self.bucket.burst * (level + pull.level) / both_full
+        total_burst = self.bucket.burst + pull.burst
+        surplus = level - self.bucket.burst * (level + pull.level) / total_burst
         tokens = min(surplus, pull.room - pull.level)
         if tokens < MIN_TRANSFER_TOKENS:
-            return nothing
+            return empty_batch
         self._record_demand(now, zone, tokens)
         return self._lend(
             now, holder, Batch(pull.draw_id, tokens, SINGLE_TOKEN_TTL_SECONDS)
@@ -319,10 +327,10 @@
     def settle_pull(
         self, now: float, draw_id: str, answer: Batch | RateRefused
     ) -> None:
-        """Take in what another zone's holder gave; late or twice, it adds nothing.
+        """Add the tokens of another zone's holder; ignore late or repeated answers.
 
-        A refusal is remembered, and passed on with refusals from here, so that an
-        entry host needn't ask each zone for a customer that is beyond its rate.
+        A refusal is cached and reported with refusals of this holder, so that an entry
+        host does not ask every zone for a customer that exceeds its rate.
         """
         self._advance(now)
         pull = self._pending_pulls.pop(draw_id, None)
@@ -339,17 +347,17 @@
                 )
 
     def return_batch(self, now: float, entry_host: str, batch: Batch) -> None:
-        """Take back what is left of a batch; a second time changes nothing."""
+        """Take back the unspent tokens of a batch; ignore a repeated return."""
         self._advance(now)
         loan = self._loans.pop((entry_host, batch.draw_id), None)
         if loan is None:
             return
         self._lent -= loan.batch.tokens
-        rest = min(max(0.0, batch.tokens), loan.batch.tokens)
-        self.bucket.level = min(self.bucket.level + rest, self._room())
+        unspent = min(max(0.0, batch.tokens), loan.batch.tokens)
+        self.bucket.level = min(self.bucket.level + unspent, self._room())
 
     def set_limits(self, now: float, customer: Customer, fraction: float) -> None:
-        """Put an edit, or another fraction, in force from now on."""
+        """Apply edited limits, or another fraction, from now on."""
         self._advance(now)
         self.fraction = fraction
         self.bucket.rate = customer.rate_per_second * fraction
@@ -357,17 +365,17 @@
         self.bucket.level = min(self.bucket.level, self._room())
 
     def demand_per_second(self, now: float) -> dict[str, float]:
-        """Return the tokens a second asked for of late, by zone.
+        """Return the recent demand in tokens per second, by zone.
 
-        Of the own zone the entry hosts' draws, refused ones too; of another zone
-        what its holder got to level out.
+        The demand of the own zone is counted from draws of its entry hosts, including
+        refused ones; that of another zone from the tokens given to its holder.
         """
         return {zone: demand.rate(now) for zone, demand in self._demand_by_zone.items()}
 
     def hand_over(self, now: float) -> ShareState:
-        """Stop lending, and return what the slot's next holder needs to go on.
+        """Stop lending, and return the state for the slot's next holder.
 
-        A planned stop would otherwise cost each of the host's customers its burst.
+        Without it, a planned stop would cost each customer of the host its burst.
         """
         self._advance(now)
         self._handed_over = True
@@ -378,7 +386,7 @@
         return ShareState(self.bucket.level, lent)
 
     def fits_burst(self, now: float, burst: float) -> bool:
-        """Return whether no more than ``burst`` can be admitted at once."""
+        """Return whether available and lent tokens together are at most ``burst``."""
         self._advance(now)
         return self.bucket.level + self._lent <= burst + TOKEN_TOLERANCE
 
@@ -394,15 +402,15 @@
         return level if partial else 0.0
 
     def _single_token_ttl(self, spend_seconds):
-        """Return the life of a token that is spent as soon as it has arrived.
+        """Return the lifetime of a token that is spent on arrival, in seconds.
 
-        At a low rate a long life holds up little, and a token that comes too late is
-        a large part of the burst.
+        At a low rate, a long lifetime blocks little refill, and a token that arrives
+        late is a large part of the burst.
         """
-        cheap = SINGLE_TOKEN_TTL_SECONDS
+        min_ttl = SINGLE_TOKEN_TTL_SECONDS
         if self.bucket.rate > 0.0:
-            cheap = min(cheap, MAX_BLOCKED_REFILL_TOKENS / self.bucket.rate)
-        return min(max(spend_seconds, cheap), MAX_BATCH_TTL_SECONDS)
+            min_ttl = min(min_ttl, MAX_BLOCKED_REFILL_TOKENS / self.bucket.rate)
+        return min(max(spend_seconds, min_ttl), MAX_BATCH_TTL_SECONDS)
 
     def _lend(self, now, entry_host, batch):
         self.bucket.level = max(0.0, self.bucket.level - batch.tokens)
@@ -432,8 +440,8 @@
         return replace(self._own_refusal(now), others=others)
 
     def _own_refusal(self, now):
-        # While a whole burst is lent nothing comes in: told only of the rate, the
-        # caller would come back too early and be refused again.
+        # There is no refill while the whole burst is lent. A wait computed only from
+        # the rate would let the caller retry too early and be refused again.
         wait = self._seconds_until_room(now) + self.bucket.seconds_until(now)
         bucket = self.bucket
         return RateRefused(wait, bucket.level, bucket.rate, self.fraction)
@@ -462,8 +470,8 @@
             if loan is None or loan.expires_at != expires_at:
                 continue
             self.bucket.refill(expires_at, self._room())
-            # Whether they were spent is unknown: back in the level they could be
-            # spent twice, seen as a customer above its burst.
+            # It is unknown whether the tokens were spent. If they were added to the
+            # level, they could be spent twice and the burst be exceeded.
             del self._loans[key]
             self._lent -= loan.batch.tokens
         if not self._loans:
--- a/packages/swifttide_core/src/swifttide_core/limits/_demand.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_demand.py
@@ -1,13 +1,13 @@
-"""Measured demand."""
+"""Exponentially smoothed rate of arrivals."""
 
 import math
 
 DEFAULT_TIME_CONSTANT_SECONDS = 2.0
-"""Time constant: a spell this long ago counts for about a third."""
+"""Default time constant. Arrivals of this age have a weight of about one third."""
 
 
 class SmoothedDemand:
-    """Arrivals a second, exponentially smoothed.
+    """Exponentially smoothed rate of arrivals per second.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
         self._sum += n
 
     def rate(self, now: float) -> float:
-        """Return arrivals a second."""
+        """Return the smoothed arrivals per second."""
         self._decay(now)
         return self._sum / self.time_constant_seconds
 
--- a/packages/swifttide_core/src/swifttide_core/limits/_draw_failed.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_draw_failed.py
@@ -1,8 +1,8 @@
-"""A draw without an answer."""
+"""Result of a draw that got no answer."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class DrawFailed:
-    """The holder was not reached, or is not known, or no longer holds the slot."""
+    """The holder is unknown, not reachable, or no longer has the customer's slot."""
--- a/packages/swifttide_core/src/swifttide_core/limits/_draw_order.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_draw_order.py
@@ -1,4 +1,4 @@
-"""Order to ask a holder for tokens."""
+"""Instruction to draw tokens from a holder."""
 
 from dataclasses import dataclass
 
@@ -7,24 +7,27 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawOrder:
-    """Send one draw, once, then pass its answer to ``EntryRateLimiter.settle``.
+    """Instruction to send one draw and pass its answer to ``EntryRateLimiter.settle``.
+
+    The draw must be sent only once.
 
     Parameters
     ----------
     customer : str
-        Customer whose holder is asked.
+        Customer whose tokens are drawn.
     zone : str
-        Zone whose holder is asked.
+        Zone of the holder that is asked.
     draw_id : str
-        Unique in the life of the entry host's process.
+        Id that is unique during the lifetime of the entry host's process.
     wanted : float
-        Tokens that the entry host can use during a batch's life.
+        Tokens that the waiting request still needs.
     partial : bool
-        Whether less than a whole token is of use.
+        Whether fewer tokens than wanted are accepted.
     spend_seconds : float
-        Time within which a single token will be spent.
+        Requested lifetime of a token that is spent as soon as it arrives.
     returned : tuple of Batch
-        Earlier batches of the same holder that are done with, and what is left.
+        Earlier batches of the same holder that are no longer needed, with their unspent
+        tokens.
     """
 
     customer: str
--- a/packages/swifttide_core/src/swifttide_core/limits/_entry_rate_limiter.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_entry_rate_limiter.py
@@ -1,17 +1,21 @@
-"""Tokens at an entry host, for all customers.
+"""Admission of requests by rate limit at an entry host, for all customers.
 
-Load pattern: a request arrives and must be admitted or refused at once, while the
-tokens are at the holder in this zone, or in other zones, whole or in parts.
+Load pattern: a request arrives and must be admitted or refused immediately, while the
+tokens of its customer are with the holders in this zone and other zones, possibly as
+fractions of a token.
 
-Without it: a refused customer multiplies its refusals into draws, a share lies
-unused in a zone without traffic, and what comes too late is spent twice.
+Without this module, each refused request would cause draws in every zone, a share would
+stay unused in a zone without traffic, and tokens that arrive late would be spent twice.
 
-Grounds: a token is used only while its life, counted from BEFORE the draw was
-sent, lasts; the holder counts it from later on, so that it is never counted as
-gone while it can be used. Own zone first, then the others: a skewed customer gets
-its whole rate from any zone, and a zone that is cut off goes on with its own share.
-Entry hosts keep no tokens for later requests: measured, that saves 15% of the
-messages at 4 hosts, none at 380, and refuses three times as many after a burst.
+A token may be used only during its lifetime, which is counted from the time before the
+draw was sent. The holder counts the same lifetime from a later time, so that it never
+counts a token as expired that can still be used. The own zone is asked first, then the
+others. A customer with uneven traffic thereby gets its whole rate from any zone, and an
+isolated zone continues with its own share.
+
+Entry hosts do not store tokens for later requests. Storing them saves 15% of the
+messages with 4 hosts and none with 380, and causes three times as many refusals after a
+burst.
 """
 
 from dataclasses import dataclass
@@ -28,31 +32,32 @@
 from swifttide_core.limits._zone_shares import FULL_FRACTION, draw_zone_order
 
 FAILED_DRAW_BACKOFF_SECONDS = 0.5
-"""How long a holder that was not reached is passed over."""
+"""Time for which a holder that was not reached is skipped."""
 
 MIN_RETRY_AFTER_SECONDS = 0.01
-"""Shortest wait that a refused caller is told: some trips to a holder."""
+"""Minimum retry-after of a refusal, which covers several round trips to a holder."""
 
 MIN_TOKEN_TTL_SECONDS = 0.02
-"""Shortest life that is asked for a token that is spent at once: many trips."""
+"""Minimum requested lifetime of a token that is spent on arrival: many round trips."""
 
 MAX_TOKEN_TTL_SECONDS = 0.5
-"""Longest such life."""
+"""Maximum requested lifetime of a token that is spent on arrival."""
 
 TOKEN_TTL_ROUND_TRIPS = 4.0
-"""Life of such a token in round trips, of the longest of late: a token that comes
-too late is lost, and one that lives long holds up the refill."""
+"""Requested lifetime of a token that is spent on arrival, in multiples of the longest
+recent round trip. A token that arrives after its lifetime is lost, and a long lifetime
+delays the refill."""
 
 ROUND_TRIP_DECAY_FACTOR = 0.98
-"""What remains of the longest round trip with each further answer."""
+"""Factor by which the longest recent round trip decays with each answer."""
 
 CUSTOMER_IDLE_SECONDS = 60.0
-"""Silence after which a customer is forgotten."""
+"""Time without requests after which the state of a customer is evicted."""
 
 
 @dataclass(frozen=True, slots=True)
 class _DrawnBatch:
-    """What a request has drawn so far."""
+    """Batch that was drawn for a request, with the end of its lifetime."""
 
     zone: str
     batch: Batch
@@ -61,7 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingRequest:
-    """A request on its way to a token."""
+    """Request that waits for tokens.
+
+    ``tried_draws`` has pairs of a zone and whether the draw was partial.
+    """
 
     customer: str
     tried_draws: frozenset[tuple[str, bool]] = frozenset()
@@ -75,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _InFlightDraw:
-    """A draw that was ordered and has no answer yet."""
+    """Draw that was ordered and has not been answered."""
 
     request: _PendingRequest
     zone: str
@@ -83,7 +91,7 @@
 
 
 class _CustomerState:
-    """What an entry host knows of one customer."""
+    """State of one customer at an entry host."""
 
     def __init__(self, order):
         self.draw_order = order
@@ -93,14 +101,16 @@
 
 
 class EntryRateLimiter:
-    """Draws of one entry host. Not thread-safe: the caller locks.
+    """Rate limiter of one entry host, which draws tokens from the holders.
+
+    It is not thread-safe; the caller must lock it.
 
     Parameters
     ----------
     host : str
-        Name of this host and incarnation, for the draw ids.
+        Name and incarnation of this host, used in draw ids.
     zones : tuple of str
-        Zones to draw in, the own one first.
+        Zones to draw from, beginning with the own zone.
     """
 
     def __init__(self, host, zones):
@@ -114,25 +124,25 @@
 
     @property
     def known_customers(self) -> frozenset[str]:
-        """Customers that something is remembered of."""
+        """Customers whose state is stored."""
         return frozenset(self._customer_states)
 
     def admit(
         self, now: float, customer: Customer
     ) -> RateAdmitted | DrawOrder | RateRefused:
-        """Decide on a request that arrives.
+        """Decide on a new request.
 
         Parameters
         ----------
         now : float
-            Monotonic seconds; for a draw, the time from which its life counts.
+            Monotonic seconds. The lifetime of drawn tokens is counted from this time.
         customer : Customer
-            Customer of the request, with the limits in force here.
+            Customer of the request, with the limits in force at this host.
 
         Returns
         -------
         RateAdmitted, DrawOrder or RateRefused
-            After ``DrawOrder``, ``settle`` says how the request goes on.
+            After ``DrawOrder``, the decision continues with ``settle``.
         """
         state = self._customer_states.pop(customer.name, None) or _CustomerState(())
         self._customer_states[customer.name] = state
@@ -143,13 +153,12 @@
     def settle(
         self, now: float, draw_id: str, answer: Batch | RateRefused | DrawFailed
     ) -> RateAdmitted | DrawOrder | RateRefused | None:
-        """Go on with the request that ordered a draw.
+        """Continue the decision on a request with the answer to its draw.
 
         Returns
         -------
         RateAdmitted, DrawOrder, RateRefused or None
-            None for an answer that comes a second time or too late: the request
-            that it belonged to has gone on already.
+            None for a repeated or late answer, whose request has already continued.
         """
         flight = self._in_flight.pop(draw_id, None)
         if flight is None:
@@ -171,7 +180,10 @@
         return self._decide(now, state, request)
 
     def due_returns(self, now: float) -> tuple[ReturnOrder, ...]:
-        """Give up the parts that were of no use; call it every 0.1 s or so."""
+        """Return the batches to give back that no request can use.
+
+        Call it about every 0.1 s. It also evicts idle customers.
+        """
         orders = [
             ReturnOrder(customer, zone, batch)
             for customer in self._customers_with_returns
@@ -185,7 +197,7 @@
         return tuple(orders)
 
     def _evict_idle_customers(self, now):
-        """Drop customers not seen of late; those seen last stand at the end."""
+        """Evict idle customers; the states are ordered by their last request."""
         waiting = {flight.request.customer for flight in self._in_flight.values()}
         while self._customer_states:
             customer = next(iter(self._customer_states))
@@ -206,11 +218,11 @@
             state.unavailable_zones = {
                 z: c for z, c in state.unavailable_zones.items() if c.until > now
             }
-        known = sum(
+        known_fraction = sum(
             known_zone.fraction for known_zone in state.unavailable_zones.values()
         )
         for zone in state.draw_order:
-            if known >= FULL_FRACTION:
+            if known_fraction >= FULL_FRACTION:
                 break
             if (
                 zone not in state.unavailable_zones
@@ -220,20 +232,23 @@
         return self._draw_partial(now, state, request)
 
     def _draw_partial(self, now, state, request):
-        """Draw parts of a token in several zones when they make up a whole one.
+        """Draw fractions of a token from several zones if they add up to a whole token.
 
-        What has come in there since they answered is left out: of a customer that
-        sends too much others have taken it, and the draws would be in vain.
+        The refill since their answers is not counted: for a customer above its rate,
+        other hosts have already drawn it, and these draws would fail.
         """
-        parts = {
+        available_tokens = {
             zone: state.unavailable_zones[zone].available
             for zone in state.draw_order
             if zone in state.unavailable_zones
             and (zone, True) not in request.tried_draws
         }
-        if request.held_tokens(now) + sum(parts.values()) + TOKEN_TOLERANCE < 1.0:
+        if (
+            request.held_tokens(now) + sum(available_tokens.values()) + TOKEN_TOLERANCE
+            < 1.0
+        ):
             return self._refuse(now, state, request)
-        zone = max(parts, key=parts.__getitem__)
+        zone = max(available_tokens, key=available_tokens.__getitem__)
         return self._start_draw(now, state, request, zone, True)
 
     def _refuse(self, now, state, request):
@@ -255,11 +270,11 @@
         self._n_draws += 1
         draw_id = f"{self.host}-{self._n_draws}"
         wanted = 1.0 - request.held_tokens(now)
-        asked = request.tried_draws | {(zone, partial)}
-        request = _PendingRequest(request.customer, asked, request.batches)
+        tried_draws = request.tried_draws | {(zone, partial)}
+        request = _PendingRequest(request.customer, tried_draws, request.batches)
         self._in_flight[draw_id] = _InFlightDraw(request, zone, now)
         returned = tuple(state.unused_batches.pop(zone, ()))
-        spend = min(
+        ttl = min(
             max(
                 MIN_TOKEN_TTL_SECONDS,
                 TOKEN_TTL_ROUND_TRIPS * self._max_round_trip_seconds,
@@ -267,12 +282,12 @@
             MAX_TOKEN_TTL_SECONDS,
         )
         return DrawOrder(
-            request.customer, zone, draw_id, wanted, partial, spend, returned
+            request.customer, zone, draw_id, wanted, partial, ttl, returned
         )
 
     def _add_batch(self, flight, batch):
-        # Counted from when the answer came, a token would outlive the holder's
-        # count of it by the time the answer took, and a burst be exceeded.
+        # If the lifetime were counted from the arrival of the answer, a token would be
+        # usable after the holder counts it as expired, and the burst be exceeded.
         expires_at = flight.sent_at + batch.ttl_seconds
         drawn = _DrawnBatch(flight.zone, batch, expires_at)
         request = flight.request
--- a/packages/swifttide_core/src/swifttide_core/limits/_pull.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_pull.py
@@ -1,24 +1,24 @@
-"""Question of one zone's holder to another's."""
+"""Request of one zone's holder for tokens of another zone's holder."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Pull:
-    """Order to ask the holder in another zone to level out.
+    """Instruction to ask the holder in another zone to equalize the fill levels.
 
     Parameters
     ----------
     zone : str
         Zone whose holder is asked.
     draw_id : str
-        Unique in the life of the asking process.
+        Id that is unique during the lifetime of the asking process.
     level : float
-        Tokens that the asking holder has.
+        Tokens in the bucket of the asking holder.
     burst : float
-        Most that its share holds.
+        Burst of its share, in tokens.
     room : float
-        Level that it may have now.
+        Maximum level that its bucket may have now: the burst less the lent tokens.
     """
 
     zone: str
--- a/packages/swifttide_core/src/swifttide_core/limits/_rate_admitted.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_rate_admitted.py
@@ -1,8 +1,8 @@
-"""A request that may go on."""
+"""Result of a rate limit check that admits the request."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class RateAdmitted:
-    """A token was spent on the request."""
+    """The request is admitted; one token was spent on it."""
--- a/packages/swifttide_core/src/swifttide_core/limits/_rate_refused.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_rate_refused.py
@@ -1,4 +1,4 @@
-"""Refusal of a request that is beyond its customer's rate."""
+"""Refusal of a request that exceeds the rate of its customer."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -6,21 +6,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RateRefused:
-    """No token now; final for this request, which has not run.
+    """No token is available; the refusal is final and the request was not executed.
 
     Parameters
     ----------
     retry_after_seconds : float
-        When the next token is there, if nobody takes it first.
+        Time until the next token is available if no other request takes it.
     available : float
-        Part of a token that the refusing holder has, for joining with the parts
-        that other zones have.
+        Fraction of a token that the refusing holder has. Fractions of several zones can
+        be combined into a whole token.
     rate : float
-        Tokens a second that come in at the refusing holder.
+        Refill rate at the refusing holder, in tokens per second.
     fraction : float
-        Part of the customer's rate and burst that it speaks for.
+        Fraction of the customer's rate and burst that the refusing holder manages.
     others : mapping of str to RateRefused
-        What it knows of other zones that are empty as well.
+        Cached refusals of other zones, by zone.
     """
 
     retry_after_seconds: float
--- a/packages/swifttide_core/src/swifttide_core/limits/_return_order.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_return_order.py
@@ -1,4 +1,4 @@
-"""Order to give a batch back."""
+"""Instruction to return a batch to its holder."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReturnOrder:
-    """Send a batch back to the holder of a customer in a zone.
+    """Instruction to return a batch to the holder that lent it.
 
     Parameters
     ----------
@@ -16,7 +16,7 @@
     zone : str
         Zone whose holder lent it.
     batch : Batch
-        With the tokens that were left unspent.
+        Batch with its unspent tokens.
     """
 
     customer: str
--- a/packages/swifttide_core/src/swifttide_core/limits/_share_state.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_share_state.py
@@ -1,4 +1,4 @@
-"""A customer's share on its way to the slot's next holder."""
+"""State of a customer's share that is handed over to the slot's next holder."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LentBatch:
-    """A batch that an entry host may still use.
+    """Batch that an entry host may still use.
 
     Parameters
     ----------
     entry_host : str
-        Host and incarnation that drew it.
+        Host and incarnation that drew the batch.
     batch : Batch
-        As it was lent.
+        Batch as it was lent.
     seconds_left : float
-        Until the holder no longer counts it.
+        Time until the holder no longer counts the batch as lent.
     """
 
     entry_host: str
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareState:
-    """What a planned stop hands over.
+    """State that a planned stop hands over.
 
     Parameters
     ----------
     level : float
         Tokens that are not lent out.
     lent : tuple of LentBatch
-        Batches that are.
+        Batches that are lent out.
     """
 
     level: float
--- a/packages/swifttide_core/src/swifttide_core/limits/_share_transfer.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_share_transfer.py
@@ -1,4 +1,8 @@
-"""Which part of its share a zone gives up, from what it measures."""
+"""Decide which fraction of its share a zone transfers to another zone.
+
+The decision uses the ``shares`` row, the measured demand per zone and the limits of the
+customer.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -12,20 +16,21 @@
 )
 
 MIN_DEMAND_PER_SECOND = 0.5
-"""Draws from another zone that are worth two writes at the platform. Below it a
-customer's arrivals are too few to tell a move of its traffic from chance."""
+"""Minimum demand of another zone, in tokens per second, that justifies the two platform
+writes of a transfer. Below it, too few requests arrive to tell a shift of the traffic
+from random variation."""
 
 
 @dataclass(frozen=True, slots=True)
 class TransferShare:
-    """Give a part of the own share up for another zone.
+    """Decision to transfer a part of the own share to another zone.
 
     Parameters
     ----------
     to_zone : str
-        Zone that drew most here.
+        Zone that receives the transfer.
     fraction : float
-        Part of the customer's whole rate and burst.
+        Transferred fraction of the customer's total rate and burst.
     """
 
     to_zone: str
@@ -34,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoTransfer:
-    """Leave the shares as they are."""
+    """Decision to leave the shares unchanged."""
 
 
 def plan_transfer(
@@ -44,21 +49,21 @@
     demand_per_second: Mapping[str, float],
     customer: Customer,
 ) -> TransferShare | NoTransfer:
-    """Decide what the holder in ``zone`` gives up.
+    """Decide what the holder in ``zone`` transfers.
 
     Parameters
     ----------
     shares : ZoneShares
-        The row as last read.
+        Row as last read.
     zone : str
-        Own zone.
+        Zone of this holder.
     zones : tuple of str
         All zones.
     asked_per_second : mapping of str to float
-        From ``CustomerShare.demand_per_second``: another zone's holder asks here
-        only when its own share does not suffice, and only while it is alive.
+        Result of ``CustomerShare.demand_per_second``. The holder of another zone asks
+        here only if its own share does not suffice, and only while it is alive.
     customer : Customer
-        With the limits in force.
+        Customer with the limits in force.
 
     Returns
     -------
@@ -77,24 +82,27 @@
     if others[to_zone] < MIN_DEMAND_PER_SECOND:
         return NoTransfer()
     floor = MIN_KEPT_SHARE_FRACTION / len(served)
-    own_need = demand_per_second.get(zone, 0.0) / customer.rate_per_second
-    spare = shares.fraction(zone) - max(floor, own_need)
-    fraction = min(spare, others[to_zone] / customer.rate_per_second)
+    own_demand = demand_per_second.get(zone, 0.0) / customer.rate_per_second
+    surplus = shares.fraction(zone) - max(floor, own_demand)
+    fraction = min(surplus, others[to_zone] / customer.rate_per_second)
     if fraction < MIN_TRANSFER_FRACTION:
         return NoTransfer()
     return TransferShare(to_zone, fraction)
 
 
 def _transfer_all(shares, zone, served):
-    """Give all up: after an edit the burst is too small for so many zones."""
+    """Transfer the whole share: after an edit, the burst is too small for this zone."""
     if shares.fraction(zone) <= 0.0:
         return NoTransfer()
     return TransferShare(served[0], shares.fraction(zone))
 
 
 def _transfer_to_new_zone(shares, zone, served, missing):
-    """Give a part up for a zone that has none since an edit raised the burst."""
-    richest = max(shares.zones, key=lambda z: (shares.zones[z], z))
-    if zone != richest:
+    """Transfer a part to a zone that is entitled to a share since an edit of the burst.
+
+    Only the zone with the largest fraction does this.
+    """
+    largest_zone = max(shares.zones, key=lambda z: (shares.zones[z], z))
+    if zone != largest_zone:
         return NoTransfer()
     return TransferShare(missing, min(1.0 / len(served), shares.fraction(zone) / 2.0))
--- a/packages/swifttide_core/src/swifttide_core/limits/_token_bucket.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_token_bucket.py
@@ -1,20 +1,20 @@
-"""A token bucket on the caller's clock."""
+"""Token bucket whose time is passed in by the caller."""
 
 TOKEN_TOLERANCE = 1e-9
-"""Tokens by which rounding may fall short of a whole one."""
+"""Rounding error, in tokens, by which a level may fall short of a whole token."""
 
 
 class TokenBucket:
-    """Bucket that fills at a rate up to a burst.
+    """Token bucket that is refilled at a constant rate up to a burst.
 
     Parameters
     ----------
     rate : float
-        Tokens a second.
+        Refill rate in tokens per second.
     burst : float
-        Most tokens that it holds.
+        Maximum number of tokens.
     level : float
-        Tokens that it holds at ``now``.
+        Number of tokens at ``now``.
     now : float
         Monotonic seconds.
     """
@@ -27,23 +27,23 @@
 
     @classmethod
     def full(cls, rate: float, burst: float, now: float) -> "TokenBucket":
-        """Return a bucket that nobody has used yet."""
+        """Return a full bucket, which has not been used yet."""
         return cls(rate, burst, burst, now)
 
     @classmethod
     def empty(cls, rate: float, burst: float, now: float) -> "TokenBucket":
-        """Return a bucket of whose past use nothing is known."""
+        """Return an empty bucket, for one whose past use is unknown."""
         return cls(rate, burst, 0.0, now)
 
     def refill(self, now: float, room: float | None = None) -> None:
-        """Add what has come in since the last call.
+        """Add the tokens that have accrued since the last call.
 
         Parameters
         ----------
         now : float
             Monotonic seconds; a time before the last call changes nothing.
         room : float or None
-            Level at which filling stops, when it is below the burst.
+            Level at which the refill stops; None for the burst.
         """
         if now <= self.updated_at:
             return
@@ -53,7 +53,7 @@
         self.updated_at = now
 
     def take(self, now: float, tokens: float = 1.0) -> bool:
-        """Take tokens, all or none; return whether they were there."""
+        """Take all of the tokens or none; return whether they were taken."""
         self.refill(now)
         if self.level + TOKEN_TOLERANCE < tokens:
             return False
@@ -61,7 +61,7 @@
         return True
 
     def seconds_until(self, now: float, tokens: float = 1.0) -> float:
-        """Return the seconds until it holds ``tokens``; infinite if it never will."""
+        """Return the seconds until ``tokens`` are there; infinite if they never are."""
         self.refill(now)
         if self.level + TOKEN_TOLERANCE >= tokens:
             return 0.0
--- a/packages/swifttide_core/src/swifttide_core/limits/_unavailable_zone.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_unavailable_zone.py
@@ -1,21 +1,21 @@
-"""What is known of a zone that had no whole token."""
+"""Cached information about a zone that had no whole token or did not answer."""
 
 from swifttide_core.limits._rate_refused import RateRefused
 
 MAX_REFUSAL_CACHE_SECONDS = 1.0
-"""Longest that a refusal is believed: tokens that another entry host gives back, a
-raised limit or a moved share are seen after this time."""
+"""Maximum time for which a refusal is cached. Tokens that another entry host returns, a
+raised limit or a transferred share are noticed after this time."""
 
 
 class UnavailableZone:
-    """A zone that had no whole token, or was not reached.
+    """Zone that had no whole token, or whose holder was not reached.
 
     Parameters
     ----------
     since : float
-        Monotonic seconds at which that was known.
+        Time of the answer or failure, in monotonic seconds.
     until : float
-        Monotonic seconds at which it is worth asking again.
+        Time from which the zone may be asked again, in monotonic seconds.
     available, rate, fraction : float
         As in ``RateRefused``.
     """
@@ -31,7 +31,17 @@
     def from_refusal(
         cls, now: float, refused: RateRefused, min_seconds: float = 0.0
     ) -> "UnavailableZone":
-        """Remember what a zone's holder said, for at least some seconds."""
+        """Create the entry from the refusal of a zone's holder.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic seconds.
+        refused : RateRefused
+            Answer of the holder.
+        min_seconds : float
+            Minimum time for which the refusal is cached.
+        """
         wait = max(
             min(refused.retry_after_seconds, MAX_REFUSAL_CACHE_SECONDS), min_seconds
         )
@@ -39,14 +49,14 @@
 
     @classmethod
     def from_failure(cls, now: float, seconds: float) -> "UnavailableZone":
-        """Remember that a zone's holder did not answer; nothing else is known."""
+        """Create the entry for a holder that did not answer, valid for ``seconds``."""
         return cls(now, now + seconds, 0.0, 0.0, 0.0)
 
     def expected_tokens(self, now: float) -> float:
-        """Return the part of a token that is there, if nobody else takes it."""
+        """Return the tokens available now if no other host has drawn any."""
         return self.available + self.rate * (now - self.since)
 
     def as_refusal(self, now: float) -> RateRefused:
-        """Return what the zone's holder said, with the wait that remains."""
+        """Return the refusal of the zone's holder with the remaining wait."""
         wait = max(0.0, self.until - now)
         return RateRefused(wait, self.available, self.rate, self.fraction)
--- a/packages/swifttide_core/src/swifttide_core/limits/_zone_share_manager.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_zone_share_manager.py
@@ -1,13 +1,13 @@
-"""The share of a customer in one zone, together with its ``shares`` row.
+"""Share of a customer in one zone, kept consistent with its ``shares`` row.
 
-Load pattern: as in ``CustomerShare``; besides, the row is changed by other zones,
-and an answer from the platform can be late, lost, or older than what is known.
+The load pattern is that of ``CustomerShare``. In addition, other zones change the row,
+and answers of the platform can be late, lost, or older than the known row.
 
-Without it: a part that was given up by a write whose answer was lost, or that a
-late read brings back, is used in two zones at once.
+Without this module, a fraction would be used in two zones at once: after a write whose
+answer was lost, or if a late read restored a fraction that was given up.
 
-Grounds: what is in use is never above what the newest known row grants, less what
-is being given up; it is lowered before the write and raised only after it.
+The fraction in use never exceeds the fraction in the newest known row, less the pending
+transfer. It is lowered before the write and raised only after it.
 """
 
 from swifttide_core.documents import Customer
@@ -21,22 +21,22 @@
 
 
 class ZoneShareManager:
-    """What a slot's holder keeps for one customer.
+    """Share and ``shares`` row of one customer, managed by the holder of its slot.
 
     Parameters
     ----------
     zone : str
-        Own zone.
+        Zone of this holder.
     zones : tuple of str
         All zones.
     customer : Customer
-        With the limits in force.
+        Customer with the limits in force.
     row : ZoneShares
-        The row, read after the slot was claimed.
+        Row as read after the slot was claimed.
     version : int
         Version of the row.
     share : CustomerShare
-        Started with the row's fraction.
+        Share that was started with the fraction of the row.
 
     Notes
     -----
@@ -63,25 +63,25 @@
         now: float,
         unserved_since: float | None = None,
     ) -> "ZoneShareManager":
-        """Start at a takeover, as ``CustomerShare.from_config`` does."""
+        """Start at a takeover of the slot; see ``CustomerShare.from_config``."""
         fraction = row.fraction(zone)
         share = CustomerShare.from_config(customer, fraction, now, unserved_since)
         return cls(zone, zones, customer, row, version, share)
 
     @property
     def has_pending_transfer(self) -> bool:
-        """Whether a part is out of use here and not yet given up in the row."""
+        """Whether this zone has stopped using a fraction that its row still has."""
         return isinstance(self._pending_transfer, TransferShare)
 
     def set_customer(self, now: float, customer: Customer) -> None:
-        """Put an edit in force."""
+        """Apply an edit of the customer's limits."""
         self.customer = customer
         self._apply_limits(now)
 
     def apply_row(self, now: float, row: ZoneShares, version: int) -> None:
-        """Take in a row that was read, or committed from here.
+        """Apply a row that was read, or that was committed by this host.
 
-        An older one changes nothing.
+        A row that is not newer than the known one is ignored.
         """
         if version <= self.version:
             return
@@ -94,8 +94,8 @@
     def next_write(self, now: float) -> ZoneShares | None:
         """Return the row to commit now, conditional on ``version``, or None.
 
-        Call it every few seconds. The outcome comes back by ``learn``; of a write
-        whose answer was lost, by the next read.
+        Call it every few seconds. Pass the outcome to ``apply_row``; if the answer to
+        the write was lost, pass the result of the next read.
         """
         if self.row.offers.get(self.zone, 0.0) > 0.0:
             return self.row.with_offer_accepted(self.zone)
--- a/packages/swifttide_core/src/swifttide_core/limits/_zone_shares.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_zone_shares.py
@@ -1,16 +1,17 @@
-"""Division of a customer's rate and burst among zones: the ``shares`` row.
+"""Division of a customer's rate and burst among availability zones: the ``shares`` row.
 
-Load pattern: a customer's traffic moves from one zone to another; zones are cut
-off from each other and from the platform for minutes.
+Load pattern: a customer's traffic moves from one zone to another, and zones lose their
+connections to each other and to the platform for minutes.
 
-Without it: equal shares leave most of a skewed customer's rate in zones where it
-is not, and each of its requests then costs a draw in another zone.
+With fixed equal shares, most of the rate of a customer with uneven traffic would be in
+zones without its requests, and each request would need a draw in another zone.
 
-Grounds: the row's fractions and offers always add up to one. A zone first stops
-using a part, then commits it as an offer, and only a committed offer is taken: at
-no moment do two zones use the same part, whichever of them dies, pauses or is cut
-off in between. A move follows a spell of lending, so that it costs a few writes
-per customer and change of traffic, not a write per request.
+The fractions and offers of a row always add up to one. A zone first stops using a
+fraction, then commits it as an offer, and only a committed offer is accepted by the
+other zone. Two zones therefore never use the same fraction, even if either of them
+crashes, pauses or loses its connections in between. A transfer is made only after a
+period of demand from another zone, so that it costs a few writes per customer and shift
+of the traffic, not one write per request.
 """
 
 from collections.abc import Iterable, Mapping
@@ -21,33 +22,34 @@
 from swifttide_core.documents import Customer
 
 SUM_TOLERANCE = 1e-6
-"""Rounding that the sum of the fractions may show."""
+"""Permitted rounding error of the sum of the fractions."""
 
 FULL_FRACTION = 1.0 - 1e-6
-"""Fraction at which a zone has all there is, but for rounding."""
+"""Fraction from which a zone counts as having the whole rate, allowing for rounding."""
 
 MIN_TRANSFER_FRACTION = 0.05
-"""Smallest fraction that is worth two writes at the platform."""
+"""Smallest fraction that justifies the two platform writes of a transfer."""
 
 MIN_KEPT_SHARE_FRACTION = 0.5
-"""Part of an equal share that a zone never gives up, for when it is cut off."""
+"""Fraction of an equal share that a zone always keeps, in case it gets isolated."""
 
 
 MIN_ZONE_BURST_TOKENS = 8.0
-"""Burst below which a zone's share isn't worth having: parts of a token in five
-zones refuse a small customer that one bucket would serve."""
+"""Minimum burst of a zone's share, in tokens. With less, the tokens of a small customer
+would be split into fractions over five zones, and requests would be refused that a
+single bucket would admit."""
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneShares:
-    """Value of one ``shares`` row.
+    """Value of a ``shares`` row.
 
     Parameters
     ----------
     zones : mapping of str to float
         Fraction that each zone may use.
     offers : mapping of str to float
-        Fractions that nobody uses, by the zone for which they were given up.
+        Fractions that no zone uses, by the zone to which they are offered.
     """
 
     zones: Mapping[str, float]
@@ -55,18 +57,18 @@
 
     @classmethod
     def from_config(cls, customer: Customer, zones: Iterable[str]) -> "ZoneShares":
-        """Divide equally among the zones that ``zones_with_share`` names."""
+        """Divide equally among the zones that ``zones_with_share`` returns."""
         served = zones_with_share(customer, zones)
         return cls(dict.fromkeys(served, 1.0 / len(served)), {})
 
     @classmethod
     def from_row(cls, value: Mapping) -> "ZoneShares":
-        """Read a row.
+        """Create the shares from the value of a row.
 
         Raises
         ------
         ValueError
-            When a fraction is negative or they don't add up to one.
+            If a fraction is negative or the fractions do not add up to one.
         """
         zones = {str(z): float(f) for z, f in value.get("zones", {}).items()}
         offers = {str(z): float(f) for z, f in value.get("offers", {}).items()}
@@ -75,17 +77,17 @@
         return shares
 
     def to_row(self) -> dict:
-        """Return the row's value."""
+        """Return the value of the row."""
         return {"zones": dict(self.zones), "offers": dict(self.offers)}
 
     def fraction(self, zone: str) -> float:
-        """Return what a zone may use."""
+        """Return the fraction that a zone may use."""
         return self.zones.get(zone, 0.0)
 
     def with_offer(self, zone: str, to_zone: str, fraction: float) -> "ZoneShares":
-        """Return the row in which ``zone`` has given up a part for ``to_zone``.
+        """Return the row in which ``zone`` has offered a fraction to ``to_zone``.
 
-        Commit it only after the holder in ``zone`` has stopped using that part
+        Commit it only after the holder in ``zone`` has stopped using that fraction
         (``CustomerShare.set_limits``, then ``CustomerShare.fits_burst``).
         """
         amount = min(fraction, self.fraction(zone))
@@ -94,9 +96,9 @@
         return ZoneShares(zones, offers)
 
     def with_offer_accepted(self, zone: str) -> "ZoneShares":
-        """Return the row in which ``zone`` has taken what is offered to it.
+        """Return the row in which ``zone`` has accepted what is offered to it.
 
-        Use it only after it was committed.
+        The zone may use the fraction only after this row was committed.
         """
         offers = dict(self.offers)
         amount = offers.pop(zone, 0.0)
@@ -104,9 +106,10 @@
 
 
 def zones_with_share(customer: Customer, zones: Iterable[str]) -> tuple[str, ...]:
-    """Return the zones that a customer's rate and burst are divided among.
+    """Return the zones among which a customer's rate and burst are divided.
 
-    As many as get ``MIN_ZONE_BURST`` tokens each, by rendezvous hashing.
+    Rendezvous hashing selects as many zones as get ``MIN_ZONE_BURST_TOKENS`` each, but
+    at least one.
     """
     ranked = sorted(
         zones,
@@ -117,20 +120,20 @@
 
 
 def draw_zone_order(customer: Customer, zones: tuple[str, ...]) -> tuple[str, ...]:
-    """Return the zones in which an entry host draws, one after the other.
+    """Return the zones in the order in which an entry host draws from them.
 
     Parameters
     ----------
     customer : Customer
-        With the limits in force.
+        Customer with the limits in force.
     zones : tuple of str
-        All zones, the own one first.
+        All zones, beginning with the zone of the entry host.
 
     Returns
     -------
     tuple of str
-        The own zone if it has a share, other zones with one, then the rest, which
-        may have got one by a move.
+        The own zone if it has a share, then the other zones with a share, then the
+        remaining zones, which may have received a share by a transfer.
     """
     served = zones_with_share(customer, zones)
     order = [zone for zone in zones[:1] if zone in served]
@@ -140,12 +143,12 @@
 
 
 def check_zone_shares(shares: ZoneShares) -> None:
-    """Check that fractions and offers are a division of one.
+    """Check that fractions and offers are non-negative and add up to one.
 
     Raises
     ------
     ValueError
-        With the value that was found.
+        If they do not; the message contains the value found.
     """
     parts = [*shares.zones.values(), *shares.offers.values()]
     if any(part < 0.0 for part in parts):
--- a/packages/swifttide_core/src/swifttide_core/limits/tests/test_customer_share.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/tests/test_customer_share.py
@@ -1,4 +1,4 @@
-"""A customer's share at its holder."""
+"""Tests of a customer's share at its holder."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 
 def drain(share, now, prefix="d"):
-    """Return how many tokens are there."""
+    """Draw until the first refusal; return the number of tokens drawn."""
     for n in range(1000):
         if isinstance(draw(share, now, f"{prefix}{n}"), RateRefused):
             return n
@@ -32,8 +32,10 @@
 
 class TestTakeover:
     def test_takeover_without_history_starts_empty(self):
-        """The former holder died after it had lent the whole burst. A successor that
-        starts full lends it again, and the customer gets two bursts at once.
+        """Guards against admitting two bursts after a crash of the holder.
+
+        The former holder crashed after it lent the whole burst. A successor that starts
+        with a full bucket would lend it again.
         """
         share = CustomerShare.from_config(CUSTOMER, 1.0, 100.0)
         assert drain(share, 100.0) == 0
@@ -44,8 +46,10 @@
         assert drain(share, 100.0) == 5
 
     def test_batch_expires_with_the_lease_of_the_holder(self):
-        """A holder is paused right after it lent tokens, and another host takes its
-        slot over. Tokens that live on would be admitted on top of the new holder's.
+        """Guards against tokens of two holders being in use at the same time.
+
+        A holder is paused after it lent tokens, and another host takes over its slot.
+        Tokens that outlive the lease would be admitted in addition to the new holder's.
         """
         batch = draw(full_share(), 0.0, "d", lease_ends_at=0.01, spend_seconds=0.5)
         assert batch.ttl_seconds == pytest.approx(0.01)
@@ -54,8 +58,10 @@
         assert isinstance(draw(full_share(), 5.0, "d", lease_ends_at=5.0), RateRefused)
 
     def test_handover_keeps_the_burst(self):
-        """A host is replaced on an ordinary day. If its customers' buckets started
-        empty elsewhere, they would be refused for two seconds each time.
+        """Guards against refusals after a planned replacement of a host.
+
+        If the buckets of its customers started empty at the next holder, their requests
+        would be refused for two seconds each time.
         """
         old = full_share()
         draw(old, 0.0, "part", wanted=5.0, partial=True)
@@ -67,8 +73,10 @@
 
 class TestLending:
     def test_lent_tokens_count_against_the_burst(self):
-        """Answers with tokens are under way. Were they forgotten meanwhile, the
-        bucket would fill up behind them and the burst be exceeded by as many.
+        """Guards against exceeding the burst by the tokens in transit.
+
+        If lent tokens were not counted, the bucket would refill completely while the
+        answers with these tokens are in transit.
         """
         share = full_share()
         draw(share, 0.0, "a", wanted=10.0, partial=True)
@@ -80,7 +88,7 @@
         assert drain(share, 0.0) == 19
 
     def test_repeated_return_of_a_batch_counts_once(self):
-        """The answer to a return is lost and the return is sent again."""
+        """The answer to a return is lost, and the return is sent again."""
         share = full_share()
         drain(share, 0.0)
         share = CustomerShare.from_config(CUSTOMER, 1.0, 0.0, -1.0)
@@ -96,8 +104,9 @@
         assert drain(share, 0.0) == 10
 
     def test_expired_tokens_are_not_restored(self):
-        """The entry host may have spent them without telling. Put back, they would
-        be admitted a second time.
+        """Guards against admitting expired tokens a second time.
+
+        The entry host may have spent them without reporting it.
         """
         slow = Customer("c", 0.001, 20.0)
         share = full_share(customer=slow)
@@ -105,7 +114,7 @@
         assert drain(share, 100.0) == 0
 
     def test_retry_after_is_sufficient(self):
-        """A caller that comes back when it was told to, alone, is served."""
+        """A single caller that retries after the stated time is admitted."""
         share = full_share()
         drain(share, 0.0)
         wait = draw(share, 0.0, "x").retry_after_seconds
@@ -134,8 +143,9 @@
         return empty, full, pull
 
     def test_tokens_move_to_the_zone_with_the_lower_level(self):
-        """All requests of a customer arrive in one zone. Its tokens in the other run
-        over while it is refused, though it is inside its rate.
+        """Guards against refusals of a customer that stays within its rate.
+
+        All its requests arrive in one zone, while its bucket in the other overflows.
         """
         empty, full, pull = self.empty_and_full_share()
         answer = full.answer_pull(0.0, "a", pull, FOREVER)
@@ -144,7 +154,7 @@
         assert drain(full, 0.001) == 5
 
     def test_late_pull_answer_adds_nothing(self):
-        """The answer was held up until the giving zone had filled up again."""
+        """The answer was delayed until the giving zone had refilled its bucket."""
         empty, full, pull = self.empty_and_full_share()
         answer = full.answer_pull(0.0, "a", pull, FOREVER)
         empty.settle_pull(0.2, pull.draw_id, answer)
--- a/packages/swifttide_core/src/swifttide_core/limits/tests/test_entry_rate_limiter.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/tests/test_entry_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Draws of an entry host."""
+"""Tests of the rate limiter of an entry host."""
 
 from swifttide_core.documents import Customer
 from swifttide_core.limits import (
@@ -20,94 +20,100 @@
 
 class TestTokenTtl:
     def test_ttl_is_counted_from_before_the_draw(self):
-        """The answer is held up. Counted from its arrival, the token would live on
-        after its holder has filled up again.
+        """Guards against using a token that its holder counts as expired.
+
+        The answer is delayed. If the lifetime were counted from its arrival, the token
+        would still be valid after the holder refilled its bucket.
         """
-        allowance = rate_limiter()
-        order = allowance.admit(0.0, CUSTOMER)
+        limiter = rate_limiter()
+        order = limiter.admit(0.0, CUSTOMER)
         late = Batch(order.draw_id, 1.0, order.spend_seconds)
-        answer = allowance.settle(order.spend_seconds + 0.001, order.draw_id, late)
+        answer = limiter.settle(order.spend_seconds + 0.001, order.draw_id, late)
         assert not isinstance(answer, RateAdmitted)
 
     def test_repeated_answer_admits_once(self):
-        allowance = rate_limiter()
-        order = allowance.admit(0.0, CUSTOMER)
+        limiter = rate_limiter()
+        order = limiter.admit(0.0, CUSTOMER)
         batch = Batch(order.draw_id, 1.0, 0.1)
-        assert allowance.settle(0.001, order.draw_id, batch) == RateAdmitted()
-        assert allowance.settle(0.002, order.draw_id, batch) is None
+        assert limiter.settle(0.001, order.draw_id, batch) == RateAdmitted()
+        assert limiter.settle(0.002, order.draw_id, batch) is None
 
     def test_slow_round_trips_request_a_longer_ttl(self):
-        """Threads are held up under load. With a fixed life all tokens would come
-        too late, and everything be refused.
+        """Guards against refusing all requests under load.
+
+        Threads are delayed under load. With a fixed lifetime, all tokens would arrive
+        after they expired.
         """
-        allowance = rate_limiter()
-        order = allowance.admit(0.0, CUSTOMER)
-        allowance.settle(0.1, order.draw_id, Batch(order.draw_id, 1.0, 0.02))
-        assert allowance.admit(1.0, CUSTOMER).spend_seconds >= 0.2
+        limiter = rate_limiter()
+        order = limiter.admit(0.0, CUSTOMER)
+        limiter.settle(0.1, order.draw_id, Batch(order.draw_id, 1.0, 0.02))
+        assert limiter.admit(1.0, CUSTOMER).spend_seconds >= 0.2
 
 
 class TestZones:
     def test_other_zone_is_tried_when_own_zone_is_empty(self):
-        allowance = rate_limiter()
-        first = allowance.admit(0.0, CUSTOMER)
-        second = allowance.settle(0.001, first.draw_id, EMPTY)
+        limiter = rate_limiter()
+        first = limiter.admit(0.0, CUSTOMER)
+        second = limiter.settle(0.001, first.draw_id, EMPTY)
         assert {first.zone, second.zone} == {"a", "b"}
 
     def test_request_is_refused_without_draws_while_all_zones_are_empty(self):
-        """A customer sends several times its rate. Each refusal would cost a trip to
-        every zone, at hosts that are busy already.
+        """Guards against draws for each refusal of a customer above its rate.
+
+        The customer sends several times its rate. Without cached refusals, each of its
+        requests would cause a round trip to every zone at hosts under load.
         """
-        allowance = rate_limiter()
-        order = allowance.admit(0.0, CUSTOMER)
+        limiter = rate_limiter()
+        order = limiter.admit(0.0, CUSTOMER)
         while isinstance(order, DrawOrder):
-            order = allowance.settle(0.001, order.draw_id, EMPTY)
-        assert isinstance(allowance.admit(0.002, CUSTOMER), RateRefused)
+            order = limiter.settle(0.001, order.draw_id, EMPTY)
+        assert isinstance(limiter.admit(0.002, CUSTOMER), RateRefused)
 
     def test_isolated_zone_admits_from_its_own_share(self):
-        """The other zones aren't reached: the own share still admits."""
-        allowance = EntryRateLimiter("h", ("b", "a"))
-        order = allowance.admit(0.0, CUSTOMER)
+        """The other zones are not reachable; the own share still admits requests."""
+        limiter = EntryRateLimiter("h", ("b", "a"))
+        order = limiter.admit(0.0, CUSTOMER)
         while order.zone != "b":
-            order = allowance.settle(0.0, order.draw_id, DrawFailed())
+            order = limiter.settle(0.0, order.draw_id, DrawFailed())
         batch = Batch(order.draw_id, 1.0, 0.1)
-        assert allowance.settle(0.001, order.draw_id, batch) == RateAdmitted()
+        assert limiter.settle(0.001, order.draw_id, batch) == RateAdmitted()
 
     def test_partial_tokens_of_two_zones_admit_a_request(self):
-        allowance = rate_limiter()
-        part = RateRefused(1.0, 0.6, 5.0, 0.5)
-        order = allowance.admit(0.0, CUSTOMER)
+        limiter = rate_limiter()
+        fraction = RateRefused(1.0, 0.6, 5.0, 0.5)
+        order = limiter.admit(0.0, CUSTOMER)
         while not order.partial:
-            order = allowance.settle(0.001, order.draw_id, part)
-        order = allowance.settle(0.002, order.draw_id, Batch(order.draw_id, 0.6, 1.0))
+            order = limiter.settle(0.001, order.draw_id, fraction)
+        order = limiter.settle(0.002, order.draw_id, Batch(order.draw_id, 0.6, 1.0))
         batch = Batch(order.draw_id, order.wanted, 1.0)
-        assert allowance.settle(0.003, order.draw_id, batch) == RateAdmitted()
+        assert limiter.settle(0.003, order.draw_id, batch) == RateAdmitted()
 
     def test_insufficient_partial_tokens_are_returned(self):
-        allowance = rate_limiter()
-        part = RateRefused(1.0, 0.6, 5.0, 0.5)
-        order = allowance.admit(0.0, CUSTOMER)
+        limiter = rate_limiter()
+        fraction = RateRefused(1.0, 0.6, 5.0, 0.5)
+        order = limiter.admit(0.0, CUSTOMER)
         while not order.partial:
-            order = allowance.settle(0.001, order.draw_id, part)
-        order = allowance.settle(0.002, order.draw_id, Batch(order.draw_id, 0.6, 1.0))
-        refused = allowance.settle(0.003, order.draw_id, EMPTY)
+            order = limiter.settle(0.001, order.draw_id, fraction)
+        order = limiter.settle(0.002, order.draw_id, Batch(order.draw_id, 0.6, 1.0))
+        refused = limiter.settle(0.003, order.draw_id, EMPTY)
         assert isinstance(refused, RateRefused)
-        assert [back.batch.tokens for back in allowance.due_returns(0.1)] == [0.6]
+        assert [returned.batch.tokens for returned in limiter.due_returns(0.1)] == [0.6]
 
 
 class TestMemory:
     def test_idle_customers_are_evicted(self):
-        """Thousands of customers pass through a host in a day, and it has 64 MB."""
-        allowance = rate_limiter()
+        """A host serves thousands of customers per day with 64 MB of memory."""
+        limiter = rate_limiter()
         for n in range(100):
             customer = Customer(f"c{n}", 10.0, 40.0)
-            order = allowance.admit(n * 1.0, customer)
-            allowance.settle(n * 1.0, order.draw_id, Batch(order.draw_id, 1.0, 0.1))
-        allowance.due_returns(99.0)
-        assert len(allowance.known_customers) <= 60
+            order = limiter.admit(n * 1.0, customer)
+            limiter.settle(n * 1.0, order.draw_id, Batch(order.draw_id, 1.0, 0.1))
+        limiter.due_returns(99.0)
+        assert len(limiter.known_customers) <= 60
 
     def test_customer_with_pending_draw_is_not_evicted(self):
-        """An answer comes after the customer would have been forgotten."""
-        allowance = rate_limiter()
-        order = allowance.admit(0.0, CUSTOMER)
-        allowance.due_returns(100.0)
-        assert allowance.settle(100.0, order.draw_id, DrawFailed()) is not None
+        """The answer arrives after the customer would have been evicted."""
+        limiter = rate_limiter()
+        order = limiter.admit(0.0, CUSTOMER)
+        limiter.due_returns(100.0)
+        assert limiter.settle(100.0, order.draw_id, DrawFailed()) is not None
