--- a/packages/swifttide_core/src/swifttide_core/routing/_config.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_config.py
@@ -24,8 +24,8 @@
 
     n_choices: int = 2
     prefill_tokens_per_second: float = 1_000.0
-    other_zone_seconds: float = 0.05
-    view_stale_seconds: float = 15.0
+    cross_zone_penalty_seconds: float = 0.05
+    max_report_age_seconds: float = 15.0
     default_retry_seconds: float = 2.0
 
 
--- a/packages/swifttide_core/src/swifttide_core/routing/_route_request.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_route_request.py
@@ -46,5 +46,5 @@
     prompt_tokens: int = 0
     prefixes: tuple[CachedPrefix, ...] = ()
     avoid: frozenset[str] = frozenset()
-    other_zones: bool = True
+    allow_other_zones: bool = True
     new_program: bool = False
--- a/packages/swifttide_core/src/swifttide_core/routing/_router.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_router.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class _Local:
+class _LocalLoad:
     outstanding: int = 0
     change_since_report: int = 0
     reported_at: float = float("-inf")
@@ -58,7 +58,7 @@
         self._cfg = cfg
         self._rng = rng
         self._index = TargetIndex(())
-        self._local: dict[str, _Local] = {}
+        self._local_loads: dict[str, _LocalLoad] = {}
 
     @classmethod
     def from_config(cls, cfg: RoutingConfig, rng: random.Random) -> "Router":
@@ -90,7 +90,7 @@
             self._index = TargetIndex(views)
         best = None
         for view in self._candidates(req):
-            choice = self._rate(now, req, view)
+            choice = self._estimate(now, req, view)
             if best is None or choice.expected_seconds < best.expected_seconds:
                 best = choice
         if best is None:
@@ -99,13 +99,13 @@
 
     def dispatched(self, now: float, target: str) -> None:
         """Count a call that goes to a target, queueing there included."""
-        local = self._local.setdefault(target, _Local())
+        local = self._local_loads.setdefault(target, _LocalLoad())
         local.outstanding += 1
         local.change_since_report += 1
 
     def finished(self, now: float, target: str) -> None:
         """Count a call that was answered, refused or withdrawn."""
-        local = self._local.get(target)
+        local = self._local_loads.get(target)
         if local is None:
             return
         local.outstanding = max(0, local.outstanding - 1)
@@ -114,20 +114,26 @@
     def _candidates(self, req: RouteRequest) -> Iterable[TargetView]:
         seen = set(req.avoid)
         for prefix in req.prefixes:
-            view = self._index.named(prefix.target, req.serves)
-            if view is None or view.name in seen or not self._may_use(req, view):
+            view = self._index.find(prefix.target, req.serves)
+            if (
+                view is None
+                or view.name in seen
+                or not self._is_zone_allowed(req, view)
+            ):
                 continue
             seen.add(view.name)
             yield view
-        own = self._draw(self._index.in_zone(req.serves, req.zone), seen)
+        own = self._sample(self._index.in_zone(req.serves, req.zone), seen)
         yield from own
         if req.other_zones:
-            yield from self._draw(self._index.outside_zone(req.serves, req.zone), seen)
+            yield from self._sample(
+                self._index.outside_zone(req.serves, req.zone), seen
+            )
 
-    def _may_use(self, req: RouteRequest, view: TargetView) -> bool:
+    def _is_zone_allowed(self, req: RouteRequest, view: TargetView) -> bool:
         return req.other_zones or view.zone == req.zone
 
-    def _draw(self, views: Sequence[TargetView], seen: set[str]) -> list[TargetView]:
+    def _sample(self, views: Sequence[TargetView], seen: set[str]) -> list[TargetView]:
         if len(views) <= self._cfg.n_choices + len(seen):
             drawn = [view for view in views if view.name not in seen]
             self._rng.shuffle(drawn)
@@ -139,7 +145,7 @@
         seen.update(view.name for view in drawn)
         return drawn
 
-    def _rate(self, now: float, req: RouteRequest, view: TargetView) -> Choice:
+    def _estimate(self, now: float, req: RouteRequest, view: TargetView) -> Choice:
         cached = self._cached_tokens(req, view)
         seconds = self._wait_seconds(now, view)
         uncached = max(0, req.prompt_tokens - cached)
@@ -157,7 +163,7 @@
     def _wait_seconds(self, now: float, view: TargetView) -> float:
         limit = max(view.limit, 1)
         load = view.running + view.queued
-        local = self._local.get(view.name)
+        local = self._local_loads.get(view.name)
         if local is not None:
             load = self._corrected_load(now, view, local, load)
         rate = limit / view.service_seconds
@@ -168,7 +174,7 @@
         return queued / max(rate, 1e-3) + busy * view.service_seconds / limit
 
     def _corrected_load(
-        self, now: float, view: TargetView, local: _Local, reported: int
+        self, now: float, view: TargetView, local: _LocalLoad, reported: int
     ) -> float:
         if view.measured_at > local.reported_at:
             local.reported_at = view.measured_at
--- a/packages/swifttide_core/src/swifttide_core/routing/_target_index.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_target_index.py
@@ -21,19 +21,19 @@
     def __init__(self, views: tuple[TargetView, ...]) -> None:
         self.views = views
         self._by_name = {view.name: view for view in views}
-        self._own: dict[tuple[str, str], list[TargetView]] = defaultdict(list)
-        self._outside: dict[tuple[str, str], list[TargetView]] = defaultdict(list)
+        self._in_zone: dict[tuple[str, str], list[TargetView]] = defaultdict(list)
+        self._outside_zone: dict[tuple[str, str], list[TargetView]] = defaultdict(list)
         self._zones = tuple(dict.fromkeys(view.zone for view in views))
         for view in views:
             if not view.eligible:
                 continue
             for served in view.serves:
-                self._own[served, view.zone].append(view)
+                self._in_zone[served, view.zone].append(view)
                 for zone in self._zones:
                     if zone != view.zone:
-                        self._outside[served, zone].append(view)
+                        self._outside_zone[served, zone].append(view)
 
-    def named(self, name: str, serves: str) -> TargetView | None:
+    def find(self, name: str, serves: str) -> TargetView | None:
         """Return an eligible target by name when it serves what is asked."""
         view = self._by_name.get(name)
         if view is None or not view.eligible or serves not in view.serves:
@@ -42,7 +42,7 @@
 
     def in_zone(self, serves: str, zone: str) -> list[TargetView]:
         """Return the eligible targets of one zone."""
-        return self._own.get((serves, zone), [])
+        return self._in_zone.get((serves, zone), [])
 
     def outside_zone(self, serves: str, zone: str) -> list[TargetView]:
         """Return the eligible targets of the other zones.
@@ -52,5 +52,5 @@
         A host in a zone without any target gets those of all zones by zone order.
         """
         if zone in self._zones:
-            return self._outside.get((serves, zone), [])
+            return self._outside_zone.get((serves, zone), [])
         return [v for z in self._zones for v in self.in_zone(serves, z)]
--- a/packages/swifttide_core/src/swifttide_core/routing/tests/test_router.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/tests/test_router.py
@@ -26,12 +26,12 @@
 
 
 class TestChoose:
-    def test_returns_to_the_prefix(self):
+    def test_prefers_target_with_cached_prefix(self):
         req = RouteRequest(MODEL, "a", 20_000, (CachedPrefix("e2", 19_000),))
         choice = make_router().choose(0.0, req, make_views())
         assert (choice.target, choice.cached_tokens) == ("e2", 19_000)
 
-    def test_leaves_the_prefix_when_its_queue_costs_more(self):
+    def test_avoids_cached_prefix_behind_a_long_queue(self):
         """A hot program's target has a long queue. Waiting there would take longer
         than computing the history again on an idle target.
         """
@@ -41,7 +41,7 @@
         req = RouteRequest(MODEL, "a", 10_000, (CachedPrefix("e2", 9_000),))
         assert make_router().choose(0.0, req, views).target != "e2"
 
-    def test_hosts_with_the_same_late_report_do_not_herd(self):
+    def test_hosts_with_the_same_stale_report_spread_requests(self):
         """One target reported no load seconds ago and the others a little. If every
         host took the best of all, that one would be flooded until the next report.
         """
@@ -58,7 +58,7 @@
         assert counts["e0"] < 50
         assert len(counts) == 8
 
-    def test_leaving_dead_and_wrong_model_get_nothing(self):
+    def test_ineligible_targets_get_no_requests(self):
         views = (
             TargetView("leaving", "a", (MODEL,), leaving=True),
             TargetView("dead", "a", (MODEL,), alive=False),
@@ -70,7 +70,7 @@
             req = RouteRequest(MODEL, "a", 5_000, held)
             assert make_router(seed).choose(0.0, req, views).target == "good"
 
-    def test_own_zone_first(self):
+    def test_own_zone_is_preferred(self):
         views = make_views(2, "a") + tuple(
             TargetView(f"f{i}", "b", (MODEL,)) for i in range(2)
         )
@@ -78,7 +78,7 @@
             choice = make_router(seed).choose(0.0, RouteRequest(MODEL, "a"), views)
             assert choice.zone == "a"
 
-    def test_other_zone_only_when_allowed(self):
+    def test_other_zone_is_used_only_if_allowed(self):
         views = make_views(2, "b")
         req = RouteRequest(MODEL, "a")
         assert isinstance(make_router().choose(0.0, req, views), Choice)
@@ -94,7 +94,7 @@
         answer = router.choose(0.0, req, views)
         assert answer.refusal.retry_after_seconds > 0
 
-    def test_slow_target_gets_less(self):
+    def test_slow_target_gets_fewer_requests(self):
         """One target serves at a fifth of the others' speed. Dividing evenly, a
         fourth of all callers would wait five times as long.
         """
@@ -109,7 +109,7 @@
             counts[target] += 1
         assert counts["e0"] < 15
 
-    def test_programs_stay_when_a_target_is_back(self):
+    def test_programs_keep_cached_prefix_when_a_target_returns(self):
         """A target comes back empty while the others are busy. If every program left
         its history for it, it would compute them all at once.
         """
