--- a/benchmarks/limits/retry_load.py
+++ b/benchmarks/limits/retry_load.py
@@ -97,10 +97,10 @@
         target = self._pick(now, request + n_tries - 1)
         in_outage = OUTAGE[0] <= now < OUTAGE[1]
         if n_tries == 1:
-            self.customer.first_try(now)
+            self.customer.record_first_attempt(now)
             self.n_first += in_outage
             if target is not None:
-                self.budgets[target].first_try(now)
+                self.budgets[target].record_first_attempt(now)
         if target is None:
             self.n_failed += in_outage
             return
@@ -135,7 +135,7 @@
             target = (start + step) % N_TARGETS
             if not self.policy.breakers:
                 return target
-            answer = self.breakers[target].ask(now)
+            answer = self.breakers[target].acquire(now)
             if not isinstance(answer, Blocked):
                 self._passed = answer
                 return target
--- a/packages/swifttide_core/src/swifttide_core/retries/_backoff.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_backoff.py
@@ -12,10 +12,10 @@
 
 import random
 
-BASE_SECONDS = 0.05
+BASE_DELAY_SECONDS = 0.05
 """Bound of the first pause."""
 
-MAX_SECONDS = 2.0
+MAX_DELAY_SECONDS = 2.0
 """Bound that no pause exceeds."""
 
 
@@ -32,7 +32,9 @@
         Largest bound.
     """
 
-    def __init__(self, rng, base_seconds=BASE_SECONDS, max_seconds=MAX_SECONDS):
+    def __init__(
+        self, rng, base_seconds=BASE_DELAY_SECONDS, max_seconds=MAX_DELAY_SECONDS
+    ):
         self.rng = rng
         self.base_seconds = base_seconds
         self.max_seconds = max_seconds
@@ -42,7 +44,7 @@
         """Return a backoff whose pauses are the same on every run."""
         return cls(random.Random(seed))
 
-    def pause(self, n_tries: int) -> float:
+    def next_delay(self, n_tries: int) -> float:
         """Return seconds to wait after ``n_tries`` tries (1 after the first)."""
         # 2.0 to a large power overflows; no bound is doubled that often.
         n_doublings = min(max(0, n_tries - 1), 30)
--- a/packages/swifttide_core/src/swifttide_core/retries/_breaker_pass.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_breaker_permit.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
+class BreakerPermit:
     """The request may go; report its result with this.
 
     Parameters
--- a/packages/swifttide_core/src/swifttide_core/retries/_breaker_states.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_breaker_states.py
@@ -20,7 +20,7 @@
     n_ok: float
     n_failed: float
     updated_at: float
-    n_in_row: int = 0
+    n_consecutive_failures: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     """
 
     until: float
-    n_trips: int
+    n_consecutive_opens: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,5 +54,5 @@
     """
 
     probe: int
-    given_up_at: float
-    n_trips: int
+    probe_expires_at: float
+    n_consecutive_opens: int
--- a/packages/swifttide_core/src/swifttide_core/retries/_circuit_breaker.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_circuit_breaker.py
@@ -18,22 +18,22 @@
 
 import math
 
-from swifttide_core.retries._breaker_pass import Blocked, Pass
+from swifttide_core.retries._breaker_permit import Blocked, BreakerPermit
 from swifttide_core.retries._breaker_states import Closed, HalfOpen, Open
 
-FAILED_IN_ROW = 5
+CONSECUTIVE_FAILURES_TO_OPEN = 5
 """Failures without a success between them at which it opens."""
 
 MIN_RESULTS = 5.0
 """Results below which their shares say nothing."""
 
-FAILED_SHARE = 0.5
+FAILURE_FRACTION_TO_OPEN = 0.5
 """Share of failures at which it opens."""
 
-MEMORY_SECONDS = 10.0
+RESULT_TIME_CONSTANT_SECONDS = 10.0
 """Time constant with which older results fade."""
 
-OPEN_SECONDS = 1.0
+INITIAL_OPEN_SECONDS = 1.0
 """First pause before a probe."""
 
 MAX_OPEN_SECONDS = 30.0
@@ -58,16 +58,16 @@
         self.probe_seconds = probe_seconds
         self.rng = rng
         self.state = Closed(0.0, 0.0, now)
-        self._n_passes = 0
+        self._n_permits = 0
 
-    def ask(self, now: float) -> Pass | Blocked:
+    def acquire(self, now: float) -> BreakerPermit | Blocked:
         """Return whether a request may go to the target."""
-        self._give_up_probe(now)
+        self._expire_probe(now)
         match self.state:
             case Closed():
-                return self._next_pass()
+                return self._next_permit()
             case Open(until, n_trips) if now >= until:
-                probe = self._next_pass()
+                probe = self._next_permit()
                 given_up_at = now + self.probe_seconds
                 self.state = HalfOpen(probe.number, given_up_at, n_trips)
                 return probe
@@ -76,48 +76,55 @@
             case HalfOpen(_, given_up_at, _):
                 return Blocked(max(0.0, given_up_at - now))
 
-    def report(self, now: float, passed: Pass, ok: bool) -> None:
+    def report(self, now: float, permit: BreakerPermit, ok: bool) -> None:
         """Count the result of a request; a request that was not sent has none."""
-        self._give_up_probe(now)
+        self._expire_probe(now)
         match self.state:
             case Closed() as closed:
-                self._count(now, closed, ok)
-            case HalfOpen(probe, _, _) if passed.number == probe and ok:
+                self._record_result(now, closed, ok)
+            case HalfOpen(probe, _, _) if permit.number == probe and ok:
                 self.state = Closed(0.0, 0.0, now)
-            case HalfOpen(probe, _, n_trips) if passed.number == probe:
+            case HalfOpen(probe, _, n_trips) if permit.number == probe:
                 self._open(now, n_trips + 1)
             case Open() | HalfOpen():
                 # A stream that began before the target failed says nothing about
                 # it now; believed, it would send all who wait at once.
                 pass
 
-    def withdraw(self, now: float, passed: Pass) -> None:
+    def withdraw(self, now: float, permit: BreakerPermit) -> None:
         """Say that a request was not sent after all; the next may probe."""
         match self.state:
-            case HalfOpen(probe, _, n_trips) if passed.number == probe:
+            case HalfOpen(probe, _, n_trips) if permit.number == probe:
                 self.state = Open(now, n_trips)
 
-    def _next_pass(self):
-        self._n_passes += 1
-        return Pass(self._n_passes)
+    def _next_permit(self):
+        self._n_permits += 1
+        return BreakerPermit(self._n_permits)
 
-    def _count(self, now, closed, ok):
-        fade = math.exp(-max(0.0, now - closed.updated_at) / MEMORY_SECONDS)
+    def _record_result(self, now, closed, ok):
+        fade = math.exp(
+            -max(0.0, now - closed.updated_at) / RESULT_TIME_CONSTANT_SECONDS
+        )
         n_ok = closed.n_ok * fade + (1.0 if ok else 0.0)
         n_failed = closed.n_failed * fade + (0.0 if ok else 1.0)
         n_in_row = 0 if ok else closed.n_in_row + 1
         self.state = Closed(n_ok, n_failed, now, n_in_row)
         # Five results within a second fade to just below five.
         n_results = round(n_ok + n_failed)
-        is_sick = n_results >= MIN_RESULTS and n_failed >= FAILED_SHARE * n_results
-        if is_sick or n_in_row >= FAILED_IN_ROW:
+        is_sick = (
+            n_results >= MIN_RESULTS
+            and n_failed >= FAILURE_FRACTION_TO_OPEN * n_results
+        )
+        if is_sick or n_in_row >= CONSECUTIVE_FAILURES_TO_OPEN:
             self._open(now, 1)
 
     def _open(self, now, n_trips):
-        pause = min(MAX_OPEN_SECONDS, OPEN_SECONDS * 2.0 ** min(n_trips - 1, 30))
+        pause = min(
+            MAX_OPEN_SECONDS, INITIAL_OPEN_SECONDS * 2.0 ** min(n_trips - 1, 30)
+        )
         self.state = Open(now + pause * self.rng.uniform(0.5, 1.0), n_trips)
 
-    def _give_up_probe(self, now):
+    def _expire_probe(self, now):
         match self.state:
             case HalfOpen(_, given_up_at, n_trips) if now >= given_up_at:
                 # The prober died with its probe: without this the target would
--- a/packages/swifttide_core/src/swifttide_core/retries/_decide_retry.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_decide_retry.py
@@ -21,7 +21,7 @@
 from swifttide_core.retries._retry_budget import RetryBudget
 from swifttide_core.verdicts import Verdict
 
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 """Tries of one request, the first included."""
 
 
@@ -64,7 +64,7 @@
     -------
     Retry or GiveUp
     """
-    cause = _forbidden(verdict, repeatable, hops, n_tries)
+    cause = _give_up_cause(verdict, repeatable, hops, n_tries)
     if cause is not None:
         return GiveUp(cause)
     after = max(backoff.pause(n_tries), not_before_seconds)
@@ -77,13 +77,13 @@
     return Retry(after)
 
 
-def _forbidden(verdict, repeatable, hops, n_tries):
+def _give_up_cause(verdict, repeatable, hops, n_tries):
     if verdict is Verdict.RAN:
         return GiveUpCause.ANSWERED
     if verdict is Verdict.MAY_HAVE_RUN and not repeatable:
         return GiveUpCause.MAY_HAVE_RUN
     if hops > 0:
         return GiveUpCause.NOT_ENTRY_HOST
-    if n_tries >= MAX_TRIES:
+    if n_tries >= MAX_ATTEMPTS:
         return GiveUpCause.TRIES
     return None
--- a/packages/swifttide_core/src/swifttide_core/retries/_retry_budget.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_retry_budget.py
@@ -15,14 +15,14 @@
 RETRY_RATIO = 0.1
 """Retries per first try in the long run."""
 
-RESERVE = 3.0
+RESERVE_RETRIES = 3.0
 """Retries that a quiet target or customer can do without first tries; also the
 start, so that the first failure after a takeover can be tried again."""
 
-CAP = 10.0
+MAX_BALANCE_RETRIES = 10.0
 """Most retries that a busy spell can save up."""
 
-RESERVE_SECONDS = 10.0
+RESERVE_REFILL_SECONDS = 10.0
 """Time for one retry of the reserve to come back without first tries."""
 
 
@@ -41,31 +41,33 @@
         Most that it holds.
     """
 
-    def __init__(self, now, ratio=RETRY_RATIO, reserve=RESERVE, cap=CAP):
+    def __init__(
+        self, now, ratio=RETRY_RATIO, reserve=RESERVE_RETRIES, cap=MAX_BALANCE_RETRIES
+    ):
         self.ratio = ratio
         self.reserve = reserve
         self.cap = cap
         self._balance = reserve
         self._updated_at = now
 
-    def first_try(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Count a request that is sent for the first time."""
-        self._recover(now)
+        self._refill_reserve(now)
         self._balance = min(self.cap, self._balance + self.ratio)
 
     def has_retry(self, now: float) -> bool:
         """Return whether a retry may be sent."""
-        self._recover(now)
+        self._refill_reserve(now)
         return self._balance >= 1.0
 
     def spend(self, now: float) -> None:
         """Count a retry; call it only after ``has_retry``."""
-        self._recover(now)
+        self._refill_reserve(now)
         self._balance -= 1.0
 
-    def _recover(self, now):
+    def _refill_reserve(self, now):
         elapsed = max(0.0, now - self._updated_at)
         self._updated_at = max(now, self._updated_at)
         if self._balance < self.reserve:
-            gained = self._balance + elapsed / RESERVE_SECONDS
+            gained = self._balance + elapsed / RESERVE_REFILL_SECONDS
             self._balance = min(self.reserve, gained)
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_placement.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_placement.py
@@ -8,7 +8,7 @@
 
 from swifttide_core.admission import Outcome, OutcomeStatus
 from swifttide_core.documents import Target
-from swifttide_core.retries import Blocked, Pass
+from swifttide_core.retries import Blocked, BreakerPermit
 from swifttide_core.routing import CachedPrefix, NoTarget, RouteRequest
 from swifttide_core.verdicts import Reason, Refusal
 from swifttide_daemon.runners._permit import Permit
@@ -64,7 +64,7 @@
 
     target: Target
     ticket_id: str
-    passed: Pass
+    passed: BreakerPermit
     granted_at: float
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_retry_account.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_retry_account.py
@@ -33,7 +33,7 @@
         now = time.monotonic()
         with self._lock:
             for budget in self._pair(target, customer, now):
-                budget.first_try(now)
+                budget.record_first_attempt(now)
 
     def decide(
         self,
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_target_board.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_target_board.py
@@ -9,11 +9,11 @@
 from swifttide_core.documents import DocumentKind, Target
 from swifttide_core.retries import (
     Blocked,
+    BreakerPermit,
     CircuitBreaker,
     Closed,
     HalfOpen,
     Open,
-    Pass,
 )
 from swifttide_core.routing import (
     Choice,
@@ -84,12 +84,12 @@
                 self.router.dispatched(now, choice.target)
             return choice
 
-    def ask(self, name: str) -> Pass | Blocked:
+    def ask(self, name: str) -> BreakerPermit | Blocked:
         """Ask the target's circuit breaker; a pass must be reported or withdrawn."""
         with self._lock:
-            return self._known[name].breaker.ask(time.monotonic())
+            return self._known[name].breaker.acquire(time.monotonic())
 
-    def report(self, name: str, passed: Pass, ok: bool) -> None:
+    def report(self, name: str, passed: BreakerPermit, ok: bool) -> None:
         """Report the result of a call that was sent."""
         with self._lock:
             if name in self._known:
@@ -97,7 +97,7 @@
                 self._changed_at_once = self._changed_at_once or not ok
                 self._changed = True
 
-    def withdraw(self, name: str, passed: Pass) -> None:
+    def withdraw(self, name: str, passed: BreakerPermit) -> None:
         """Say that a call wasn't sent after all."""
         with self._lock:
             if name in self._known:
