--- a/packages/swifttide_core/src/swifttide_core/strikes/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/strikes/__init__.py
@@ -1,23 +1,23 @@
 """Requests that crash targets."""
 
-from swifttide_core.strikes._crash_watch import CrashWatch
+from swifttide_core.strikes._crash_classifier import CrashClassifier
 from swifttide_core.strikes._fingerprint import fingerprint_of
-from swifttide_core.strikes._standing import Clear, Refused, Suspect
 from swifttide_core.strikes._strike import Strike
-from swifttide_core.strikes._strike_book import (
-    REFUSE_SECONDS,
-    StrikeBook,
+from swifttide_core.strikes._strike_status import Clear, Refused, Suspect
+from swifttide_core.strikes._strike_tracker import (
+    REFUSAL_SECONDS,
     StrikeRecord,
+    StrikeTracker,
 )
 
 __all__ = [
-    "REFUSE_SECONDS",
+    "REFUSAL_SECONDS",
     "Clear",
-    "CrashWatch",
+    "CrashClassifier",
     "Refused",
     "Strike",
-    "StrikeBook",
     "StrikeRecord",
+    "StrikeTracker",
     "Suspect",
     "fingerprint_of",
 ]
--- a/packages/swifttide_core/src/swifttide_core/strikes/_crash_watch.py
+++ b/packages/swifttide_core/src/swifttide_core/strikes/_crash_classifier.py
@@ -12,11 +12,11 @@
 
 from swifttide_core.strikes._strike import Strike
 
-MAX_BROKEN = 1024
+MAX_BROKEN_REQUESTS = 1024
 """Broken requests kept per target; far above what a target runs at once."""
 
 
-class CrashWatch:
+class CrashClassifier:
     """Requests of one target whose connection broke, until the cause is known.
 
     Parameters
@@ -27,9 +27,9 @@
 
     def __init__(self, target):
         self.target = target
-        self._broken = {}
+        self._broken_requests = {}
 
-    def broke(self, fingerprint: str, incarnation: str) -> None:
+    def record_broken_request(self, fingerprint: str, incarnation: str) -> None:
         """Note a request whose answer broke off.
 
         Parameters
@@ -39,11 +39,11 @@
         incarnation : str
             Of the target, as it was when the request was dispatched.
         """
-        self._broken[(fingerprint, incarnation)] = None
-        if len(self._broken) > MAX_BROKEN:
-            del self._broken[next(iter(self._broken))]
+        self._broken_requests[(fingerprint, incarnation)] = None
+        if len(self._broken_requests) > MAX_BROKEN_REQUESTS:
+            del self._broken_requests[next(iter(self._broken_requests))]
 
-    def seen(self, incarnation: str) -> tuple[Strike, ...]:
+    def classify(self, incarnation: str) -> tuple[Strike, ...]:
         """Conclude from an answer of the target; return the strikes to report.
 
         Parameters
@@ -53,8 +53,8 @@
         """
         strikes = tuple(
             Strike(fingerprint, self.target, died)
-            for fingerprint, died in self._broken
+            for fingerprint, died in self._broken_requests
             if died != incarnation
         )
-        self._broken.clear()
+        self._broken_requests.clear()
         return strikes
--- a/packages/swifttide_core/src/swifttide_core/strikes/_fingerprint.py
+++ b/packages/swifttide_core/src/swifttide_core/strikes/_fingerprint.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-ID_FIELDS = frozenset(
+EXCLUDED_FIELDS = frozenset(
     {
         "program",
         "parent",
@@ -50,7 +50,7 @@
         case bytes():
             body = document
         case _:
-            kept = {k: v for k, v in document.items() if k not in ID_FIELDS}
+            kept = {k: v for k, v in document.items() if k not in EXCLUDED_FIELDS}
             body = msgspec.json.encode(kept, order="deterministic")
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     digest.update(kind.encode())
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_strike_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_strike_keeper.py
@@ -6,10 +6,10 @@
 from swifttide_core.forwarding import TargetEntry
 from swifttide_core.strikes import (
     Clear,
-    CrashWatch,
+    CrashClassifier,
     Refused,
     Strike,
-    StrikeBook,
+    StrikeTracker,
     Suspect,
 )
 from swifttide_daemon.telemetry import EventLog
@@ -34,15 +34,15 @@
 
     def __init__(self, log: EventLog):
         self._log = log
-        self._book = StrikeBook()
-        self._watches: dict[str, CrashWatch] = {}
+        self._book = StrikeTracker()
+        self._watches: dict[str, CrashClassifier] = {}
         self._addresses: dict[str, tuple[str, int]] = {}
         self._news: deque[tuple[float, Strike]] = deque()
 
     def broke(self, fingerprint: str, target: TargetEntry) -> None:
         """Note a request whose connection broke."""
-        watch = self._watches.setdefault(target.id, CrashWatch(target.id))
-        watch.broke(fingerprint, str(target.started_ms))
+        watch = self._watches.setdefault(target.id, CrashClassifier(target.id))
+        watch.record_broken_request(fingerprint, str(target.started_ms))
         if len(self._addresses) >= MAX_WATCHED:
             self._forget(next(iter(self._addresses)))
         self._addresses[target.id] = (target.ip, target.port)
@@ -70,16 +70,18 @@
 
     def ran(self, fingerprint: str) -> None:
         """Note that a target ran a request to its end."""
-        self._book.ran(self._now(), fingerprint)
+        self._book.record_success(self._now(), fingerprint)
 
     def standing(self, fingerprint: str) -> Clear | Suspect | Refused:
         """Return what is held against a request."""
-        return self._book.standing(self._now(), fingerprint)
+        return self._book.status_of(self._now(), fingerprint)
 
     def take(self, strikes: list[tuple[str, str, str]]) -> None:
         """Take strikes that another host tells."""
         for fingerprint, target, incarnation in strikes:
-            self._book.strike(self._now(), Strike(fingerprint, target, incarnation))
+            self._book.record_strike(
+                self._now(), Strike(fingerprint, target, incarnation)
+            )
 
     def news(self) -> list[tuple[str, str, str]]:
         """Return the strikes to tell other hosts."""
@@ -92,12 +94,12 @@
         watch = self._watches.get(target_id)
         if watch is None:
             return
-        for strike in watch.seen(incarnation):
+        for strike in watch.classify(incarnation):
             self._add(strike)
 
     def _add(self, strike):
         now = self._now()
-        self._book.strike(now, strike)
+        self._book.record_strike(now, strike)
         self._news.append((now, strike))
         self._log.warning(
             "strike", fingerprint=strike.fingerprint, target=strike.target
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_crash_detector.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_crash_detector.py
@@ -4,7 +4,7 @@
 import time
 
 from swifttide_core.documents import Target
-from swifttide_core.strikes import CrashWatch, Strike
+from swifttide_core.strikes import CrashClassifier, Strike
 from swifttide_daemon.strikes import StrikeService
 from swifttide_daemon.targets import EngineClient
 
@@ -24,7 +24,7 @@
     def __init__(self, engines: EngineClient, strikes: StrikeService) -> None:
         self.engines = engines
         self.strikes = strikes
-        self._watches: dict[str, CrashWatch] = {}
+        self._watches: dict[str, CrashClassifier] = {}
         self._lock = threading.Lock()
 
     def incarnation(self, target: Target) -> str:
@@ -45,8 +45,8 @@
         one, or that answers nothing at all several times in a row, has died.
         """
         with self._lock:
-            watch = self._watches.setdefault(target.name, CrashWatch(target.name))
-            watch.broke(fingerprint, incarnation)
+            watch = self._watches.setdefault(target.name, CrashClassifier(target.name))
+            watch.record_broken_request(fingerprint, incarnation)
         for _ in range(N_LOOKS):
             time.sleep(LOOK_PAUSE_SECONDS)
             seen = self.incarnation(target)
@@ -60,6 +60,6 @@
         """Report the strikes of all requests that broke before this answer."""
         with self._lock:
             watch = self._watches.get(target.name)
-            found = watch.seen(incarnation) if watch else ()
+            found = watch.classify(incarnation) if watch else ()
         for strike in found:
             self.strikes.report(strike)
--- a/packages/swifttide_daemon/src/swifttide_daemon/strikes/_strike_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/strikes/_strike_service.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from swifttide_core.slots import SlotKind
-from swifttide_core.strikes import Clear, Refused, Strike, StrikeBook, Suspect
+from swifttide_core.strikes import Clear, Refused, Strike, StrikeTracker, Suspect
 from swifttide_core.verdicts import Reason, Refusal
 from swifttide_daemon.membership import MembershipService
 from swifttide_daemon.peers import PeerClient
@@ -24,7 +24,7 @@
     def __init__(self, membership: MembershipService, peers: PeerClient) -> None:
         self.membership = membership
         self.peers = peers
-        self._book = StrikeBook()
+        self._book = StrikeTracker()
         self._lock = threading.Lock()
 
     def check(self, fingerprint: str) -> Refusal | None:
@@ -56,7 +56,7 @@
     def standing(self, fingerprint: str) -> Refusal | None:
         """Answer from the own book."""
         with self._lock:
-            match self._book.standing(time.monotonic(), fingerprint):
+            match self._book.status_of(time.monotonic(), fingerprint):
                 case Refused(seconds):
                     return _refusal(seconds)
                 case Clear() | Suspect():
@@ -65,12 +65,12 @@
     def note(self, strike: Strike) -> None:
         """Write a strike into the own book."""
         with self._lock:
-            self._book.strike(time.monotonic(), strike)
+            self._book.record_strike(time.monotonic(), strike)
 
     def note_ran(self, fingerprint: str) -> None:
         """Clear a request in the own book."""
         with self._lock:
-            self._book.ran(time.monotonic(), fingerprint)
+            self._book.record_success(time.monotonic(), fingerprint)
 
     def _tell(self, fingerprint: str, verb: str, message: object) -> None:
         holder = self.membership.holder(SlotKind.FINGERPRINT, fingerprint)
--- a/tests/fuzz/test_strikes_fuzz.py
+++ b/tests/fuzz/test_strikes_fuzz.py
@@ -3,7 +3,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
-from swifttide_core.strikes import REFUSE_SECONDS, CrashWatch, Refused, StrikeBook
+from swifttide_core.strikes import (
+    REFUSAL_SECONDS,
+    CrashClassifier,
+    Refused,
+    StrikeTracker,
+)
 from tests.fuzz._settings import run_fuzz
 
 TARGETS = ("t0", "t1", "t2")
@@ -19,14 +24,14 @@
     def __init__(self):
         super().__init__()
         self.now = 0.0
-        self.book = StrikeBook()
-        self.watches = {target: CrashWatch(target) for target in TARGETS}
+        self.book = StrikeTracker()
+        self.watches = {target: CrashClassifier(target) for target in TARGETS}
         self.incarnations = dict.fromkeys(TARGETS, 0)
         self.messages = []
         self.broken = []
         self.crashes = {request: {} for request in REQUESTS}
 
-    @rule(step=st.sampled_from([1.0, 100.0, REFUSE_SECONDS]))
+    @rule(step=st.sampled_from([1.0, 100.0, REFUSAL_SECONDS]))
     def wait(self, step):
         self.now += step
 
@@ -45,7 +50,7 @@
     def see(self, where, times):
         """Hear from a target; the strikes arrive once or twice."""
         incarnation = self._incarnation(where)
-        strikes = self.watches[where].seen(incarnation)
+        strikes = self.watches[where].classify(incarnation)
         self.messages += strikes * times
         crashed = {r for r, d in self.broken if d[0] == where and d[1] != incarnation}
         assert {strike.fingerprint for strike in strikes} == crashed
@@ -54,7 +59,7 @@
     @rule(backwards=st.booleans())
     def deliver(self, backwards):
         for strike in reversed(self.messages) if backwards else self.messages:
-            self.book.strike(self.now, strike)
+            self.book.record_strike(self.now, strike)
             crash = (strike.target, strike.incarnation)
             known = self.crashes[strike.fingerprint]
             recent = {c: at for c, at in known.items() if self._is_recent(at)}
@@ -66,7 +71,7 @@
     def take_over(self, times):
         """Pass the book on by a planned stop; the message may come twice."""
         records = self.book.export(self.now)
-        self.book = StrikeBook()
+        self.book = StrikeTracker()
         for _ in range(times):
             self.book.merge(self.now, records)
         self._check()
@@ -77,17 +82,17 @@
     def _break(self, target, requests):
         incarnation = self._incarnation(target)
         for request in sorted(requests):
-            self.watches[target].broke(request, incarnation)
+            self.watches[target].record_broken_request(request, incarnation)
             self.broken.append((request, (target, incarnation)))
 
     def _is_recent(self, at):
-        return self.now - at < REFUSE_SECONDS
+        return self.now - at < REFUSAL_SECONDS
 
     def _check(self):
         """Refused exactly while two crashes are known, ten minutes apart at most."""
         for request, crashes in self.crashes.items():
             expected = len(crashes) >= 2 and self._is_recent(max(crashes.values()))
-            standing = self.book.standing(self.now, request)
+            standing = self.book.status_of(self.now, request)
             assert isinstance(standing, Refused) == expected, (request, crashes)
 
 
