--- a/packages/swifttide_core/src/swifttide_core/verdicts/_refusal.py
+++ b/packages/swifttide_core/src/swifttide_core/verdicts/_refusal.py
@@ -62,7 +62,7 @@
         """Return the same refusal with another verdict."""
         return replace(self, verdict=verdict)
 
-    def covering(self, may_have_run: bool) -> "Refusal":
+    def with_earlier_attempts(self, may_have_run: bool) -> "Refusal":
         """Return a refusal that is also true of earlier tries of the request.
 
         The last try's "not run" says nothing of a try before it whose answer was
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_dispatcher.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_dispatcher.py
@@ -209,7 +209,7 @@
         the request.
         """
         if isinstance(event, Failed):
-            return Failed(event.refusal.covering(self.lost_holder))
+            return Failed(event.refusal.with_earlier_attempts(self.lost_holder))
         return event
 
     def _is_cut_off(self, event: CallEvent, holder: HostRow) -> bool:
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_generator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_generator.py
@@ -76,18 +76,18 @@
         while True:
             put_aside = self.strikes.check(prompt.fingerprint)
             if put_aside is not None:
-                return Error(put_aside.covering(may_have_run))
+                return Error(put_aside.with_earlier_attempts(may_have_run))
             n_tries += 1
             ticket_id = f"{call.request_id}-{n_tries}"
             demand = self._demand(permit, prompt)
             placed = self.placer.place(permit, demand, ticket_id, avoid)
             if placed.is_error():
-                return Error(placed.error.covering(may_have_run))
+                return Error(placed.error.with_earlier_attempts(may_have_run))
             placement = placed.ok
             refusal = permit.refusal()
             if refusal is not None:
                 self.placer.drop(placement)
-                return Error(refusal.covering(may_have_run))
+                return Error(refusal.with_earlier_attempts(may_have_run))
             if n_tries == 1:
                 self.retries.first_try(placement.target.name, call.customer)
             else:
@@ -98,7 +98,9 @@
                 decision = self._failed(permit, placement, failure, n_tries)
                 may_have_run |= failure.verdict is not Verdict.NOT_RUN
                 if isinstance(decision, GiveUp):
-                    return Error(_refusal_of(failure).covering(may_have_run))
+                    return Error(
+                        _refusal_of(failure).with_earlier_attempts(may_have_run)
+                    )
                 avoid |= {placement.target.name}
                 time.sleep(decision.after_seconds)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_runner.py
@@ -113,7 +113,7 @@
                 return
             refusal, target = sent.error
             if not target:
-                running.append(Failed(refusal.covering(may_have_run)))
+                running.append(Failed(refusal.with_earlier_attempts(may_have_run)))
                 return
             may_have_run |= refusal.verdict is not Verdict.NOT_RUN
             if n_tries == 1:
@@ -127,7 +127,7 @@
                 customer=call.customer,
             )
             if not isinstance(decision, Retry):
-                running.append(Failed(refusal.covering(may_have_run)))
+                running.append(Failed(refusal.with_earlier_attempts(may_have_run)))
                 return
             avoid |= {target}
             time.sleep(decision.after_seconds)
