--- a/benchmarks/limits/retry_load.py
+++ b/benchmarks/limits/retry_load.py
@@ -31,7 +31,7 @@
 class _Unlimited:
     """A budget that always has a retry: the baseline."""
 
-    def first_try(self, now):
+    def record_first_attempt(self, now):
         pass
 
     def has_retry(self, now):
--- a/packages/swifttide_core/src/swifttide_core/retries/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/__init__.py
@@ -10,7 +10,7 @@
 from swifttide_core.retries._retry_budget import RetryBudget
 
 __all__ = [
-    "MAX_TRIES",
+    "MAX_ATTEMPTS",
     "Backoff",
     "Blocked",
     "BreakerPermit",
--- a/packages/swifttide_core/src/swifttide_core/retries/_breaker_states.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_breaker_states.py
@@ -13,7 +13,7 @@
         Results of late, older ones counting less.
     updated_at : float
         Monotonic seconds up to which they were aged.
-    n_in_row : int
+    n_consecutive_failures : int
         Failures since the last success.
     """
 
@@ -31,7 +31,7 @@
     ----------
     until : float
         Monotonic seconds at which one probe may go.
-    n_trips : int
+    n_consecutive_opens : int
         Times in a row that it opened.
     """
 
@@ -47,9 +47,9 @@
     ----------
     probe : int
         Number of the probe's pass.
-    given_up_at : float
+    probe_expires_at : float
         Monotonic seconds at which a probe without a result counts as failed.
-    n_trips : int
+    n_consecutive_opens : int
         Times in a row that the breaker opened.
     """
 
--- a/packages/swifttide_core/src/swifttide_core/retries/_circuit_breaker.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_circuit_breaker.py
@@ -66,15 +66,17 @@
         match self.state:
             case Closed():
                 return self._next_permit()
-            case Open(until, n_trips) if now >= until:
+            case Open(until, n_consecutive_opens) if now >= until:
                 probe = self._next_permit()
-                given_up_at = now + self.probe_seconds
-                self.state = HalfOpen(probe.number, given_up_at, n_trips)
+                probe_expires_at = now + self.probe_seconds
+                self.state = HalfOpen(
+                    probe.number, probe_expires_at, n_consecutive_opens
+                )
                 return probe
             case Open(until, _):
                 return Blocked(until - now)
-            case HalfOpen(_, given_up_at, _):
-                return Blocked(max(0.0, given_up_at - now))
+            case HalfOpen(_, probe_expires_at, _):
+                return Blocked(max(0.0, probe_expires_at - now))
 
     def report(self, now: float, permit: BreakerPermit, ok: bool) -> None:
         """Count the result of a request; a request that was not sent has none."""
@@ -84,8 +86,8 @@
                 self._record_result(now, closed, ok)
             case HalfOpen(probe, _, _) if permit.number == probe and ok:
                 self.state = Closed(0.0, 0.0, now)
-            case HalfOpen(probe, _, n_trips) if permit.number == probe:
-                self._open(now, n_trips + 1)
+            case HalfOpen(probe, _, n_consecutive_opens) if permit.number == probe:
+                self._open(now, n_consecutive_opens + 1)
             case Open() | HalfOpen():
                 # A stream that began before the target failed says nothing about
                 # it now; believed, it would send all who wait at once.
@@ -94,8 +96,8 @@
     def withdraw(self, now: float, permit: BreakerPermit) -> None:
         """Say that a request was not sent after all; the next may probe."""
         match self.state:
-            case HalfOpen(probe, _, n_trips) if permit.number == probe:
-                self.state = Open(now, n_trips)
+            case HalfOpen(probe, _, n_consecutive_opens) if permit.number == probe:
+                self.state = Open(now, n_consecutive_opens)
 
     def _next_permit(self):
         self._n_permits += 1
@@ -107,26 +109,29 @@
         )
         n_ok = closed.n_ok * fade + (1.0 if ok else 0.0)
         n_failed = closed.n_failed * fade + (0.0 if ok else 1.0)
-        n_in_row = 0 if ok else closed.n_in_row + 1
-        self.state = Closed(n_ok, n_failed, now, n_in_row)
+        n_consecutive_failures = 0 if ok else closed.n_consecutive_failures + 1
+        self.state = Closed(n_ok, n_failed, now, n_consecutive_failures)
         # Five results within a second fade to just below five.
         n_results = round(n_ok + n_failed)
         is_sick = (
             n_results >= MIN_RESULTS
             and n_failed >= FAILURE_FRACTION_TO_OPEN * n_results
         )
-        if is_sick or n_in_row >= CONSECUTIVE_FAILURES_TO_OPEN:
+        if is_sick or n_consecutive_failures >= CONSECUTIVE_FAILURES_TO_OPEN:
             self._open(now, 1)
 
-    def _open(self, now, n_trips):
+    def _open(self, now, n_consecutive_opens):
         pause = min(
-            MAX_OPEN_SECONDS, INITIAL_OPEN_SECONDS * 2.0 ** min(n_trips - 1, 30)
+            MAX_OPEN_SECONDS,
+            INITIAL_OPEN_SECONDS * 2.0 ** min(n_consecutive_opens - 1, 30),
         )
-        self.state = Open(now + pause * self.rng.uniform(0.5, 1.0), n_trips)
+        self.state = Open(now + pause * self.rng.uniform(0.5, 1.0), n_consecutive_opens)
 
     def _expire_probe(self, now):
         match self.state:
-            case HalfOpen(_, given_up_at, n_trips) if now >= given_up_at:
+            case HalfOpen(_, probe_expires_at, n_consecutive_opens) if (
+                now >= probe_expires_at
+            ):
                 # The prober died with its probe: without this the target would
                 # stay closed off for good, though it is back.
-                self._open(now, n_trips + 1)
+                self._open(now, n_consecutive_opens + 1)
--- a/packages/swifttide_core/src/swifttide_core/retries/_decide_retry.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_decide_retry.py
@@ -35,7 +35,7 @@
     deadline: float,
     budgets: Sequence[RetryBudget],
     backoff: Backoff,
-    not_before_seconds: float = 0.0,
+    min_delay_seconds: float = 0.0,
 ) -> Retry | GiveUp:
     """Decide what follows a try that failed.
 
@@ -57,7 +57,7 @@
         The target's and the customer's; all pay, or none.
     backoff : Backoff
         Pause between tries.
-    not_before_seconds : float
+    min_delay_seconds : float
         What the refusal said about when to come back.
 
     Returns
@@ -67,7 +67,7 @@
     cause = _give_up_cause(verdict, repeatable, hops, n_tries)
     if cause is not None:
         return GiveUp(cause)
-    after = max(backoff.pause(n_tries), not_before_seconds)
+    after = max(backoff.next_delay(n_tries), min_delay_seconds)
     if now + after >= deadline:
         return GiveUp(GiveUpCause.DEADLINE)
     if not all(budget.has_retry(now) for budget in budgets):
--- a/packages/swifttide_core/src/swifttide_core/retries/tests/test_retries.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/tests/test_retries.py
@@ -45,7 +45,7 @@
         assert decide(hops=1) == GiveUp(GiveUpCause.NOT_ENTRY_HOST)
 
     def test_no_retry_past_the_deadline(self):
-        answer = decide(not_before_seconds=61.0)
+        answer = decide(min_delay_seconds=61.0)
         assert answer == GiveUp(GiveUpCause.DEADLINE)
 
     def test_one_empty_budget_prevents_the_retry_without_spending(self):
@@ -83,10 +83,10 @@
 class TestBackoff:
     def test_delays_cover_the_whole_interval(self):
         backoff = Backoff.from_seed(1)
-        pauses = [backoff.pause(3) for _ in range(1000)]
+        pauses = [backoff.next_delay(3) for _ in range(1000)]
         assert min(pauses) < 0.02
         assert 0.18 < max(pauses) <= 0.2
-        assert backoff.pause(10_000) <= 2.0
+        assert backoff.next_delay(10_000) <= 2.0
 
 
 class TestCircuitBreaker:
--- a/packages/swifttide_core/src/swifttide_core/routing/_config.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_config.py
@@ -14,9 +14,9 @@
     prefill_tokens_per_second : float
         Prompt tokens that weigh as much as a second of waiting. Well below an
         engine's speed, since the others of its batch wait for each prompt too.
-    other_zone_seconds : float
+    cross_zone_penalty_seconds : float
         What a target of another zone must be faster by.
-    view_stale_seconds : float
+    max_report_age_seconds : float
         Age from which reported load is not believed any more.
     default_retry_seconds : float
         When to come back if no target can be chosen.
--- a/packages/swifttide_core/src/swifttide_core/routing/_route_request.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_route_request.py
@@ -37,7 +37,7 @@
         Targets that were tried for this call.
     new_program : bool
         Whether it is the first call of a program, which waits for room.
-    other_zones : bool
+    allow_other_zones : bool
         Whether targets of other zones may be chosen.
     """
 
--- a/packages/swifttide_core/src/swifttide_core/routing/_router.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_router.py
@@ -125,13 +125,13 @@
             yield view
         own = self._sample(self._index.in_zone(req.serves, req.zone), seen)
         yield from own
-        if req.other_zones:
+        if req.allow_other_zones:
             yield from self._sample(
                 self._index.outside_zone(req.serves, req.zone), seen
             )
 
     def _is_zone_allowed(self, req: RouteRequest, view: TargetView) -> bool:
-        return req.other_zones or view.zone == req.zone
+        return req.allow_other_zones or view.zone == req.zone
 
     def _sample(self, views: Sequence[TargetView], seen: set[str]) -> list[TargetView]:
         if len(views) <= self._cfg.n_choices + len(seen):
@@ -153,7 +153,7 @@
         if req.new_program:
             seconds += view.entry_wait_seconds
         if view.zone != req.zone:
-            seconds += self._cfg.other_zone_seconds
+            seconds += self._cfg.cross_zone_penalty_seconds
         return Choice(view.name, view.zone, cached, seconds)
 
     def _cached_tokens(self, req: RouteRequest, view: TargetView) -> int:
@@ -179,7 +179,7 @@
         if view.measured_at > local.reported_at:
             local.reported_at = view.measured_at
             local.change_since_report = 0
-        if now - view.measured_at > self._cfg.view_stale_seconds:
+        if now - view.measured_at > self._cfg.max_report_age_seconds:
             return local.outstanding
         return max(reported + local.change_since_report, local.outstanding)
 
--- a/packages/swifttide_core/src/swifttide_core/routing/tests/test_router.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/tests/test_router.py
@@ -82,7 +82,7 @@
         views = make_views(2, "b")
         req = RouteRequest(MODEL, "a")
         assert isinstance(make_router().choose(0.0, req, views), Choice)
-        req = replace(req, other_zones=False)
+        req = replace(req, allow_other_zones=False)
         assert isinstance(make_router().choose(0.0, req, views), NoTarget)
 
     def test_tried_targets_are_avoided_until_none_is_left(self):
