--- a/packages/swifttide_core/src/swifttide_core/routing/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choice of the target for a call."""
+"""Selection of the target for a call by estimated time to the first token."""
 
 from swifttide_core.routing._choice import Choice, NoTarget
 from swifttide_core.routing._config import RoutingConfig, check_routing_config
--- a/packages/swifttide_core/src/swifttide_core/routing/_choice.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_choice.py
@@ -1,4 +1,4 @@
-"""Answers of the router."""
+"""Results of the router."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Where the call goes.
+    """Selected target of a call.
 
     Parameters
     ----------
     target : str
         Id of the target.
     zone : str
-        Its availability zone.
+        Availability zone of the target.
     cached_tokens : int
-        Prefix that it is believed to hold.
+        Length of the prompt prefix that the target is expected to have cached.
     expected_seconds : float
         Estimated time until the first token.
     """
@@ -29,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NoTarget:
-    """No target may take the call.
+    """No target is eligible for the call.
 
     Parameters
     ----------
     refusal : Refusal
-        Always ``not_run``, with when to come back.
+        Refusal with verdict ``not_run`` and a retry-after time.
     """
 
     refusal: Refusal
--- a/packages/swifttide_core/src/swifttide_core/routing/_config.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_config.py
@@ -1,25 +1,27 @@
-"""Settings of routing."""
+"""Configuration of target selection."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingConfig:
-    """Weights and time constants of the choice of a target.
+    """Weights and time constants of target selection.
 
     Parameters
     ----------
     n_choices : int
-        Targets drawn at random and compared, beside those that hold the prefix.
+        Number of randomly sampled targets that are compared in addition to those that
+        have the prefix cached, per zone group (own zone, other zones).
     prefill_tokens_per_second : float
-        Prompt tokens that weigh as much as a second of waiting. Well below an
-        engine's speed, since the others of its batch wait for each prompt too.
+        Number of uncached prompt tokens that cost as much as one second of waiting. It
+        is well below the speed of an engine, since the other requests in its batch
+        wait for each prompt, too.
     cross_zone_penalty_seconds : float
-        What a target of another zone must be faster by.
+        Time by which a target of another zone must be faster to be selected.
     max_report_age_seconds : float
-        Age from which reported load is not believed any more.
+        Age above which reported load is ignored.
     default_retry_seconds : float
-        When to come back if no target can be chosen.
+        Retry-after time if no target can be selected.
     """
 
     n_choices: int = 2
@@ -30,12 +32,13 @@
 
 
 def check_routing_config(cfg: RoutingConfig) -> RoutingConfig:
-    """Return the settings when they are usable.
+    """Validate the configuration and return it.
 
     Raises
     ------
     ValueError
-        States the setting, the expected range and the value found.
+        If a value is out of range. The message states the setting, the valid range and
+        the value.
     """
     if cfg.n_choices < 1:
         raise ValueError(f"n_choices must be >= 1, got {cfg.n_choices!r}")
--- a/packages/swifttide_core/src/swifttide_core/routing/_route_request.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_route_request.py
@@ -1,18 +1,18 @@
-"""A call that needs a target."""
+"""Properties of a call that target selection depends on."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class CachedPrefix:
-    """A target that is believed to hold a part of the prompt.
+    """Target that is expected to have a prefix of the prompt cached.
 
     Parameters
     ----------
     target : str
         Id of the target.
     tokens : int
-        Length of the prefix that it holds.
+        Length of the cached prefix in tokens.
     """
 
     target: str
@@ -21,24 +21,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRequest:
-    """What routing must know of a call.
+    """Call that needs a target.
 
     Parameters
     ----------
     serves : str
         Model, adapter or plain service that the call needs.
     zone : str
-        Zone of the host that routes.
+        Zone of the host that selects the target.
     prompt_tokens : int
-        Length of the prompt; 0 for plain services.
+        Length of the prompt in tokens; 0 for plain services.
     prefixes : tuple of CachedPrefix
-        Targets with the program's prefix, from the program's row and cache events.
+        Targets with the cached prefix of the program, from the program's row and cache
+        events.
     avoid : frozenset of str
-        Targets that were tried for this call.
+        Targets that were already tried for this call.
     new_program : bool
-        Whether it is the first call of a program, which waits for room.
+        Whether it is the first call of a program, which waits until the target admits
+        a new program.
     allow_other_zones : bool
-        Whether targets of other zones may be chosen.
+        Whether targets of other zones may be selected.
     """
 
     serves: str
--- a/packages/swifttide_core/src/swifttide_core/routing/_router.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_router.py
@@ -1,22 +1,28 @@
-"""Choice of the target for a call.
+"""Select the target for a call.
 
-Load pattern: many hosts route at once by load reports that are seconds old, calls of a
-program share a long prefix that one target holds, and targets slow down, leave, die
-and come back. Without this module every host sends its calls to the target that
-looked idle seconds ago (it is flooded, then the next one is), and programs compute
-their history again at each turn or all wait for the one target that holds it.
+Load pattern: many hosts select targets concurrently, from load reports that are seconds
+old. Calls of a program share a long prefix that one target has cached. Targets slow
+down, shut down, fail and return.
 
-A target that is back needs no rule of its own: programs stay with their prefixes, so
-only new ones come, and its queue shows them to the other hosts.
+Without this module, every host would send its calls to the target that was idle seconds
+ago and overload it, then do the same with the next one. Programs would compute their
+history again at each turn, or all wait for the one target that has it cached.
 
-The targets that hold a prefix and a few others drawn at random are compared by
-expected time to the first token: the queue as reported, plus what this host has sent
-since the report, over the drain rate; plus the prompt's uncached part over the speed
-at prompts; plus a charge for another zone. Random draws keep hosts with the same late
-reports from choosing the same target.
+The targets with a cached prefix and a few others, sampled at random, are compared by
+the expected time to the first token. This is the sum of:
 
-Grounds: two draws take most of the gain of comparing all [1]_; the other figures
-were tuned in the bench, see docs/measurements.md and docs/design/routing.md.
+- the reported queue plus the calls that this host has sent since the report, divided by
+  the drain rate,
+- the uncached part of the prompt, divided by the prefill speed,
+- a penalty for a target of another zone.
+
+Random sampling keeps hosts with the same stale reports from selecting the same target.
+Two samples achieve most of the gain of comparing all targets [1]_. For the other
+constants, see docs/measurements.md and docs/design/routing.md.
+
+A target that returns needs no special treatment: programs stay with their cached
+prefixes, so that it gets only new programs, and its reported queue shows them to the
+other hosts.
 
 References
 ----------
@@ -38,20 +44,22 @@
 
 @dataclass(slots=True)
 class _LocalLoad:
+    """Calls of this host at one target, in total and since the last load report."""
+
     outstanding: int = 0
     change_since_report: int = 0
     reported_at: float = float("-inf")
 
 
 class Router:
-    """Chooser of targets at one host.
+    """Target selection of one host.
 
     Parameters
     ----------
     cfg : RoutingConfig
         Weights and time constants.
     rng : random.Random
-        Source of the draws; hosts must not share a seed.
+        Random generator for sampling. Hosts must not share a seed.
     """
 
     def __init__(self, cfg: RoutingConfig, rng: random.Random) -> None:
@@ -62,29 +70,29 @@
 
     @classmethod
     def from_config(cls, cfg: RoutingConfig, rng: random.Random) -> "Router":
-        """Return a router without knowledge of targets.
+        """Return a router that knows no targets yet.
 
         Raises
         ------
         ValueError
-            When a setting is out of its range.
+            If a setting is out of range.
         """
         return cls(check_routing_config(cfg), rng)
 
     def choose(
         self, now: float, req: RouteRequest, views: tuple[TargetView, ...]
     ) -> Choice | NoTarget:
-        """Choose a target; count it with :meth:`dispatched` once it is used.
+        """Select a target; report its use with :meth:`dispatched`.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         req : RouteRequest
-            The call.
+            Call that needs a target.
         views : tuple of TargetView
-            All known targets. Pass the same tuple object until something in it
-            changes: it is indexed once.
+            All known targets. Pass the same tuple object while nothing changes, since
+            each new object is indexed again.
         """
         if views is not self._index.views:
             self._index = TargetIndex(views)
@@ -98,13 +106,13 @@
         return best
 
     def dispatched(self, now: float, target: str) -> None:
-        """Count a call that goes to a target, queueing there included."""
+        """Count a call that is sent to a target, including calls that wait there."""
         local = self._local_loads.setdefault(target, _LocalLoad())
         local.outstanding += 1
         local.change_since_report += 1
 
     def finished(self, now: float, target: str) -> None:
-        """Count a call that was answered, refused or withdrawn."""
+        """Count a call that was answered, refused or cancelled."""
         local = self._local_loads.get(target)
         if local is None:
             return
--- a/packages/swifttide_core/src/swifttide_core/routing/_target_index.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_target_index.py
@@ -1,7 +1,8 @@
-"""Targets by what they serve and where they stand.
+"""Index of targets by served model or service and by zone.
 
-Load pattern: 600 targets and 1,200 choices a second. Filtering every target for every
-choice costs more than the choice; the index is built once for each new set of views.
+Load pattern: 600 targets and 1,200 selections per second. Filtering all targets for
+each selection costs more than the selection itself, so the index is built once for each
+new set of targets.
 """
 
 from collections import defaultdict
@@ -10,12 +11,12 @@
 
 
 class TargetIndex:
-    """Lookup of eligible targets.
+    """Index of eligible targets.
 
     Parameters
     ----------
     views : tuple of TargetView
-        All targets that the host knows.
+        All targets known to the host.
     """
 
     def __init__(self, views: tuple[TargetView, ...]) -> None:
@@ -34,7 +35,7 @@
                         self._outside_zone[served, zone].append(view)
 
     def find(self, name: str, serves: str) -> TargetView | None:
-        """Return an eligible target by name when it serves what is asked."""
+        """Return a target by name if it is eligible and serves the request, or None."""
         view = self._by_name.get(name)
         if view is None or not view.eligible or serves not in view.serves:
             return None
@@ -49,7 +50,8 @@
 
         Notes
         -----
-        A host in a zone without any target gets those of all zones by zone order.
+        For a zone without any targets, the targets of all zones are returned, grouped
+        by zone.
         """
         if zone in self._zones:
             return self._outside_zone.get((serves, zone), [])
--- a/packages/swifttide_core/src/swifttide_core/routing/_target_view.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_target_view.py
@@ -1,36 +1,36 @@
-"""What a host knows of a target, some of it late."""
+"""State of a target as known to a host, in part from delayed reports."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class TargetView:
-    """A target as a host sees it.
+    """State of a target as known to a host.
 
     Parameters
     ----------
     name : str
         Id of the target.
     zone : str
-        Its availability zone.
+        Availability zone of the target.
     serves : tuple of str
-        Models and adapters that are loaded, or names of plain services.
+        Loaded models and adapters, or names of plain services.
     alive : bool
-        False while it is taken for dead.
+        False while the target is considered failed.
     leaving : bool
-        Whether it must get no new work.
+        Whether the target is shutting down and must get no new calls.
     measured_at : float
-        Time of the reported load below.
+        Time of the report, in monotonic seconds, for the load values below.
     running, queued : int
-        Grants and waiting calls at its queue, as reported.
+        Reported numbers of admitted and waiting calls in its queue.
     limit : int
-        Concurrency limit, as reported.
+        Reported concurrency limit.
     service_seconds : float
-        Mean time from grant to release, as reported.
+        Reported mean time from admission to release of a call.
     drain_per_second : float
-        Drain rate, as reported; 0 when unknown.
+        Reported rate of completed calls; 0 if unknown.
     entry_wait_seconds : float
-        Expected wait of a new program, as reported.
+        Reported expected wait of a new program.
     """
 
     name: str
@@ -48,5 +48,5 @@
 
     @property
     def eligible(self) -> bool:
-        """Whether it may get new work at all."""
+        """Whether the target may get new calls."""
         return self.alive and not self.leaving
--- a/packages/swifttide_core/src/swifttide_core/routing/tests/test_router.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Choice of a target."""
+"""Tests of target selection."""
 
 import random
 from collections import Counter
@@ -32,18 +32,21 @@
         assert (choice.target, choice.cached_tokens) == ("e2", 19_000)
 
     def test_avoids_cached_prefix_behind_a_long_queue(self):
-        """A hot program's target has a long queue. Waiting there would take longer
-        than computing the history again on an idle target.
+        """Guards against waiting for a cached prefix behind a long queue.
+
+        Waiting would take longer than computing the history again on an idle target.
         """
         views = make_views()
-        crowded = replace(views[2], running=8, queued=40)
-        views = (*views[:2], crowded, views[3])
+        queued_view = replace(views[2], running=8, queued=40)
+        views = (*views[:2], queued_view, views[3])
         req = RouteRequest(MODEL, "a", 10_000, (CachedPrefix("e2", 9_000),))
         assert make_router().choose(0.0, req, views).target != "e2"
 
     def test_hosts_with_the_same_stale_report_spread_requests(self):
-        """One target reported no load seconds ago and the others a little. If every
-        host took the best of all, that one would be flooded until the next report.
+        """Guards against overloading the target with the lowest reported load.
+
+        One target reported no load seconds ago, the others a low load. If every host
+        selected the best target, it would be overloaded until the next report.
         """
         views = make_views(8)
         busy = tuple(replace(v, running=4) for v in views[1:])
@@ -95,8 +98,10 @@
         assert answer.refusal.retry_after_seconds > 0
 
     def test_slow_target_gets_fewer_requests(self):
-        """One target serves at a fifth of the others' speed. Dividing evenly, a
-        fourth of all callers would wait five times as long.
+        """Guards against an even distribution among targets of different speed.
+
+        One of four targets has a fifth of the speed of the others. With an even
+        distribution, a fourth of all callers would wait five times as long.
         """
         views = make_views()
         slow = replace(views[0], drain_per_second=0.8, service_seconds=10.0)
@@ -110,8 +115,10 @@
         assert counts["e0"] < 15
 
     def test_programs_keep_cached_prefix_when_a_target_returns(self):
-        """A target comes back empty while the others are busy. If every program left
-        its history for it, it would compute them all at once.
+        """Guards against moving all programs to a target that returned.
+
+        The target returns without load while the others are busy. If every program
+        moved there, it would have to compute all their histories at once.
         """
         views = make_views()
         views = (views[0], *(replace(v, running=6) for v in views[1:]))
