--- a/packages/swifttide_core/src/swifttide_core/retries/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Retries, backoff and circuit breaking."""
+"""Retry decisions, retry budgets, backoff and circuit breakers."""
 
 from swifttide_core.retries._backoff import Backoff
 from swifttide_core.retries._breaker_permit import Blocked, BreakerPermit
--- a/packages/swifttide_core/src/swifttide_core/retries/_backoff.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_backoff.py
@@ -1,22 +1,21 @@
-"""Pause before a retry.
+"""Delay before a retry.
 
-Load pattern: many requests fail in the same moment, when a target dies or a
-connection is cut, and would all come back in the same moment.
+Load pattern: many requests fail at the same time, when a target fails or a connection
+is lost, and would all be retried at the same time.
 
-Without it: the retries arrive as one burst, again and again.
-
-Grounds: full jitter (a uniform draw below an exponentially growing bound) spreads
-them evenly over the whole pause. 50 ms is several trips between zones; 2 s is
-small against a program's deadline.
+Without a random delay, the retries would arrive as one burst, repeatedly. With full
+jitter, a delay is drawn uniformly below an exponentially growing bound, which spreads
+the retries evenly over the interval. The initial bound of 50 ms is several round trips
+between zones; the maximum of 2 s is small compared with the deadline of a program.
 """
 
 import random
 
 BASE_DELAY_SECONDS = 0.05
-"""Bound of the first pause."""
+"""Upper bound of the first delay."""
 
 MAX_DELAY_SECONDS = 2.0
-"""Bound that no pause exceeds."""
+"""Upper bound of all delays."""
 
 
 class Backoff:
@@ -25,11 +24,11 @@
     Parameters
     ----------
     rng : random.Random
-        Source of the jitter.
+        Random generator for the jitter.
     base_seconds : float
-        Bound of the first pause; it doubles with each further one.
+        Upper bound of the first delay. It doubles with each further attempt.
     max_seconds : float
-        Largest bound.
+        Upper bound of all delays.
     """
 
     def __init__(
@@ -41,12 +40,12 @@
 
     @classmethod
     def from_seed(cls, seed: int) -> "Backoff":
-        """Return a backoff whose pauses are the same on every run."""
+        """Return a backoff with reproducible delays."""
         return cls(random.Random(seed))
 
     def next_delay(self, n_tries: int) -> float:
-        """Return seconds to wait after ``n_tries`` tries (1 after the first)."""
-        # 2.0 to a large power overflows; no bound is doubled that often.
+        """Return the delay in seconds after the first ``n_tries`` attempts."""
+        # A large power of 2.0 overflows. No bound needs more than 30 doublings.
         n_doublings = min(max(0, n_tries - 1), 30)
         bound = min(self.max_seconds, self.base_seconds * 2.0**n_doublings)
         return self.rng.uniform(0.0, bound)
--- a/packages/swifttide_core/src/swifttide_core/retries/_breaker_permit.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_breaker_permit.py
@@ -1,16 +1,17 @@
-"""Answers of a circuit breaker."""
+"""Results of asking a circuit breaker for permission to send a request."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class BreakerPermit:
-    """The request may go; report its result with this.
+    """The request may be sent. The permit must be passed with the report of its result.
 
     Parameters
     ----------
     number : int
-        Tells the probe's result from late results of older requests.
+        Number that distinguishes the result of a probe from late results of older
+        requests.
     """
 
     number: int
@@ -18,12 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Blocked:
-    """The target is left alone.
+    """The request must not be sent to the target.
 
     Parameters
     ----------
     retry_after_seconds : float
-        Until the next probe may go.
+        Time until the next probe may be sent.
     """
 
     retry_after_seconds: float
--- a/packages/swifttide_core/src/swifttide_core/retries/_breaker_states.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_breaker_states.py
@@ -5,14 +5,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """Requests pass and their results are counted.
+    """Requests are permitted and their results are counted.
 
     Parameters
     ----------
     n_ok, n_failed : float
-        Results of late, older ones counting less.
+        Exponentially decayed numbers of successes and failures.
     updated_at : float
-        Monotonic seconds up to which they were aged.
+        Time up to which the decay is applied, in monotonic seconds.
     n_consecutive_failures : int
         Failures since the last success.
     """
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Open:
-    """No request passes.
+    """No requests are permitted.
 
     Parameters
     ----------
     until : float
-        Monotonic seconds at which one probe may go.
+        Time from which one probe may be sent, in monotonic seconds.
     n_consecutive_opens : int
-        Times in a row that it opened.
+        Number of times the breaker opened without closing in between.
     """
 
     until: float
@@ -41,16 +41,16 @@
 
 @dataclass(frozen=True, slots=True)
 class HalfOpen:
-    """One probe is on its way.
+    """One probe is in progress.
 
     Parameters
     ----------
     probe : int
-        Number of the probe's pass.
+        Number of the probe's permit.
     probe_expires_at : float
-        Monotonic seconds at which a probe without a result counts as failed.
+        Time at which a probe without a result counts as failed, in monotonic seconds.
     n_consecutive_opens : int
-        Times in a row that the breaker opened.
+        Number of times the breaker opened without closing in between.
     """
 
     probe: int
--- a/packages/swifttide_core/src/swifttide_core/retries/_circuit_breaker.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_circuit_breaker.py
@@ -1,19 +1,21 @@
-"""Leaving a failing target alone.
-
-Load pattern: a target fails every request, quickly or by timing out, while others
-serve the same model.
-
-Without it: each request to it costs a try of its retry budget and up to a timeout
-of its program's deadline, until the platform's lagging list takes it out.
-
-Grounds: five failures in a row are a dead target: one that fails one request in ten
-shows them once in 100,000. Half of the late results is a sick one. By the share
-alone a busy target that died was left alone only after 7 s, since its successes of
-the last seconds weighed against it (9.23% of the requests of the outage failed,
-docs/measurements-limits.md). One probe at a time, so
-that a target that is coming back meets one request and not all that waited. The
-pause doubles with each failed probe and has jitter, so that hosts don't probe in
-step.
+"""Circuit breaker that stops requests to a failing target.
+
+Load pattern: a target fails every request, immediately or by timeout, while other
+targets serve the same model.
+
+Without it, each request to the failing target would cost a retry of its budget and up
+to a timeout of its program's deadline, until the delayed target list of the platform
+excludes the target.
+
+The breaker opens after five consecutive failures, which indicate a failed target: one
+that fails 10% of its requests shows them once in 100,000 requests. It also opens if
+half of the recent results are failures. With the failure fraction alone, a busy target
+that failed was excluded only after 7 s, since its recent successes weighed against the
+failures; 9.23% of the requests of the outage failed (docs/measurements-limits.md).
+
+Only one probe is sent at a time, so that a recovering target gets one request and not
+all that are waiting. The delay before a probe doubles with each failed probe and has
+jitter, so that hosts do not probe simultaneously.
 """
 
 import math
@@ -22,36 +24,36 @@
 from swifttide_core.retries._breaker_states import Closed, HalfOpen, Open
 
 CONSECUTIVE_FAILURES_TO_OPEN = 5
-"""Failures without a success between them at which it opens."""
+"""Number of consecutive failures at which the breaker opens."""
 
 MIN_RESULTS = 5.0
-"""Results below which their shares say nothing."""
+"""Minimum number of results for which the failure fraction is evaluated."""
 
 FAILURE_FRACTION_TO_OPEN = 0.5
-"""Share of failures at which it opens."""
+"""Fraction of failures at which the breaker opens."""
 
 RESULT_TIME_CONSTANT_SECONDS = 10.0
-"""Time constant with which older results fade."""
+"""Time constant of the exponential decay of results."""
 
 INITIAL_OPEN_SECONDS = 1.0
-"""First pause before a probe."""
+"""Maximum delay before the first probe."""
 
 MAX_OPEN_SECONDS = 30.0
-"""Longest pause before a probe."""
+"""Upper bound of the delay before a probe."""
 
 
 class CircuitBreaker:
-    """Breaker in front of one target.
+    """Circuit breaker of one target.
 
     Parameters
     ----------
     now : float
         Monotonic seconds.
     probe_seconds : float
-        Time after which a probe without a result counts as failed: the longest
-        that a request to the target may take.
+        Time after which a probe without a result counts as failed: the maximum
+        duration of a request to the target.
     rng : random.Random
-        Source of the jitter.
+        Random generator for the jitter.
     """
 
     def __init__(self, now, probe_seconds, rng):
@@ -61,7 +63,7 @@
         self._n_permits = 0
 
     def acquire(self, now: float) -> BreakerPermit | Blocked:
-        """Return whether a request may go to the target."""
+        """Return a permit if a request may be sent to the target now."""
         self._expire_probe(now)
         match self.state:
             case Closed():
@@ -79,7 +81,7 @@
                 return Blocked(max(0.0, probe_expires_at - now))
 
     def report(self, now: float, permit: BreakerPermit, ok: bool) -> None:
-        """Count the result of a request; a request that was not sent has none."""
+        """Count the result of a request that was sent."""
         self._expire_probe(now)
         match self.state:
             case Closed() as closed:
@@ -89,12 +91,13 @@
             case HalfOpen(probe, _, n_consecutive_opens) if permit.number == probe:
                 self._open(now, n_consecutive_opens + 1)
             case Open() | HalfOpen():
-                # A stream that began before the target failed says nothing about
-                # it now; believed, it would send all who wait at once.
+                # The result of a stream that began before the target failed does not
+                # show its present state. Closing the breaker would release all
+                # waiting requests at once.
                 pass
 
     def withdraw(self, now: float, permit: BreakerPermit) -> None:
-        """Say that a request was not sent after all; the next may probe."""
+        """Return an unused permit; the next request may be the probe."""
         match self.state:
             case HalfOpen(probe, _, n_consecutive_opens) if permit.number == probe:
                 self.state = Open(now, n_consecutive_opens)
@@ -104,34 +107,36 @@
         return BreakerPermit(self._n_permits)
 
     def _record_result(self, now, closed, ok):
-        fade = math.exp(
+        decay = math.exp(
             -max(0.0, now - closed.updated_at) / RESULT_TIME_CONSTANT_SECONDS
         )
-        n_ok = closed.n_ok * fade + (1.0 if ok else 0.0)
-        n_failed = closed.n_failed * fade + (0.0 if ok else 1.0)
+        n_ok = closed.n_ok * decay + (1.0 if ok else 0.0)
+        n_failed = closed.n_failed * decay + (0.0 if ok else 1.0)
         n_consecutive_failures = 0 if ok else closed.n_consecutive_failures + 1
         self.state = Closed(n_ok, n_failed, now, n_consecutive_failures)
-        # Five results within a second fade to just below five.
+        # Five results within a second decay to slightly less than five.
         n_results = round(n_ok + n_failed)
-        is_sick = (
+        is_failing = (
             n_results >= MIN_RESULTS
             and n_failed >= FAILURE_FRACTION_TO_OPEN * n_results
         )
-        if is_sick or n_consecutive_failures >= CONSECUTIVE_FAILURES_TO_OPEN:
+        if is_failing or n_consecutive_failures >= CONSECUTIVE_FAILURES_TO_OPEN:
             self._open(now, 1)
 
     def _open(self, now, n_consecutive_opens):
-        pause = min(
+        max_delay = min(
             MAX_OPEN_SECONDS,
             INITIAL_OPEN_SECONDS * 2.0 ** min(n_consecutive_opens - 1, 30),
         )
-        self.state = Open(now + pause * self.rng.uniform(0.5, 1.0), n_consecutive_opens)
+        self.state = Open(
+            now + max_delay * self.rng.uniform(0.5, 1.0), n_consecutive_opens
+        )
 
     def _expire_probe(self, now):
         match self.state:
             case HalfOpen(_, probe_expires_at, n_consecutive_opens) if (
                 now >= probe_expires_at
             ):
-                # The prober died with its probe: without this the target would
-                # stay closed off for good, though it is back.
+                # The sender of the probe failed. Without this, the breaker would stay
+                # half open forever, even if the target recovers.
                 self._open(now, n_consecutive_opens + 1)
--- a/packages/swifttide_core/src/swifttide_core/retries/_decide_retry.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_decide_retry.py
@@ -1,16 +1,16 @@
-"""Whether a failed request is tried again.
+"""Decide whether a failed request is retried.
 
-Load pattern: requests fail singly (a cut connection) or all at once (a target
-dies), on a path of several hops: entry host, holder of the program, holder of the
+Load pattern: requests fail individually (a lost connection) or all at once (a failed
+target), on a path of several hops: entry host, holder of the program, holder of the
 target, target.
 
-Without it: each hop that retries on its own multiplies the tries (three hops of
-three tries make 27), and a request that may not be repeated runs twice.
+If each hop retried independently, the attempts would multiply (three hops with three
+attempts make 27), and a request that must not be repeated could run twice.
 
-Grounds: only the entry host, at hop 0, retries. What may have run is repeated
-only where the profile says that this does no harm. Both the target's and the
-customer's budget pay, so neither a dead target nor a customer whose requests
-always fail can use up the fleet.
+Only the entry host, at hop 0, retries. A request that may have run is retried only if
+its profile declares it repeatable. Each retry is charged to the budgets of both the
+target and the customer, so that neither a failed target nor a customer whose requests
+always fail can use up the capacity of the fleet.
 """
 
 from collections.abc import Sequence
@@ -22,7 +22,7 @@
 from swifttide_core.verdicts import Verdict
 
 MAX_ATTEMPTS = 3
-"""Tries of one request, the first included."""
+"""Maximum number of attempts of one request, including the first."""
 
 
 def decide_retry(
@@ -37,28 +37,28 @@
     backoff: Backoff,
     min_delay_seconds: float = 0.0,
 ) -> Retry | GiveUp:
-    """Decide what follows a try that failed.
+    """Decide whether a failed attempt is followed by a retry.
 
     Parameters
     ----------
     verdict : Verdict
-        Whether the try may have run.
+        Whether the attempt may have run.
     repeatable : bool
-        Whether running it twice does no harm.
+        Whether the request may run more than once.
     hops : int
-        Peer hops behind the request; 0 at its entry host.
+        Number of hops between hosts that the request has made; 0 at its entry host.
     now : float
         Monotonic seconds.
     n_tries : int
-        Tries so far, at least 1.
+        Number of attempts so far, at least 1.
     deadline : float
-        Monotonic seconds after which an answer is of no use.
+        Deadline of the request, in monotonic seconds.
     budgets : sequence of RetryBudget
-        The target's and the customer's; all pay, or none.
+        Budgets of the target and the customer. A retry is charged to all or none.
     backoff : Backoff
-        Pause between tries.
+        Delay between attempts.
     min_delay_seconds : float
-        What the refusal said about when to come back.
+        Minimum delay, from the retry-after time of the refusal.
 
     Returns
     -------
--- a/packages/swifttide_core/src/swifttide_core/retries/_give_up.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_give_up.py
@@ -1,11 +1,11 @@
-"""Decision not to try again."""
+"""Decision not to retry a request."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class GiveUpCause(StrEnum):
-    """Why a request isn't tried again."""
+    """Why a request is not retried."""
 
     ANSWERED = "answered"
     MAY_HAVE_RUN = "may_have_run"
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Give the caller the final answer now.
+    """The caller gets the final answer without a retry.
 
     Parameters
     ----------
     cause : GiveUpCause
-        For the trace and the metrics.
+        Cause for the trace and the metrics.
     """
 
     cause: GiveUpCause
--- a/packages/swifttide_core/src/swifttide_core/retries/_retry.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_retry.py
@@ -1,16 +1,16 @@
-"""Decision to try again."""
+"""Decision to retry a request."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """Try again, at another target where there is one.
+    """The request is retried, at another target if there is one.
 
     Parameters
     ----------
     after_seconds : float
-        Pause before it.
+        Delay before the retry.
     """
 
     after_seconds: float
--- a/packages/swifttide_core/src/swifttide_core/retries/_retry_budget.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_retry_budget.py
@@ -1,44 +1,45 @@
-"""Retries as a fixed share of first tries.
+"""Limit on retries as a fraction of first attempts.
 
-Load pattern: a target goes down or slow, and every caller's request fails at
-once; each layer that retries multiplies what reaches the target.
+Load pattern: a target fails or becomes slow, and the requests of all callers fail at
+once. Each layer that retries multiplies the load on the target.
 
-Without it: with three tries per request a target that is coming back meets three
-times its load, and stays down.
+Without a limit, with three attempts per request, a recovering target gets three times
+its load and does not recover.
 
-Grounds: each first try puts ``ratio`` of a retry into the account and each retry
-takes a whole one, so that the load is at most ``1 + ratio`` times the first tries,
-plus what the account holds at the start. A tenth is small against the headroom of
-any target that was not overloaded before; measured in docs/measurements-limits.md.
+Each first attempt adds ``ratio`` to the balance and each retry subtracts 1. The load is
+therefore at most ``1 + ratio`` times the first attempts, plus the initial balance. 10%
+is small compared with the free capacity of any target that was not overloaded before;
+see docs/measurements-limits.md.
 """
 
 RETRY_RATIO = 0.1
-"""Retries per first try in the long run."""
+"""Long-term number of retries per first attempt."""
 
 RESERVE_RETRIES = 3.0
-"""Retries that a quiet target or customer can do without first tries; also the
-start, so that the first failure after a takeover can be tried again."""
+"""Retries available without first attempts, for a target or customer with few requests.
+It is also the initial balance, so that the first failure after a takeover can be
+retried."""
 
 MAX_BALANCE_RETRIES = 10.0
-"""Most retries that a busy spell can save up."""
+"""Maximum balance that can accumulate under high load, in retries."""
 
 RESERVE_REFILL_SECONDS = 10.0
-"""Time for one retry of the reserve to come back without first tries."""
+"""Time in which one retry of the reserve is refilled without first attempts."""
 
 
 class RetryBudget:
-    """Account of retries, one per target and one per customer.
+    """Retry budget of one target or one customer.
 
     Parameters
     ----------
     now : float
         Monotonic seconds.
     ratio : float
-        Retries per first try.
+        Retries per first attempt.
     reserve : float
-        Retries it starts with, and to which it recovers by time alone.
+        Initial balance, and level up to which it is refilled by time alone.
     cap : float
-        Most that it holds.
+        Maximum balance.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         self._updated_at = now
 
     def record_first_attempt(self, now: float) -> None:
-        """Count a request that is sent for the first time."""
+        """Count the first attempt of a request."""
         self._refill_reserve(now)
         self._balance = min(self.cap, self._balance + self.ratio)
 
--- a/packages/swifttide_core/src/swifttide_core/retries/tests/test_retries.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: what a failing target gets to see."""
+"""Tests of retry decisions, budgets, backoff and circuit breaker."""
 
 import random
 
@@ -30,8 +30,9 @@
 
 class TestDecideRetry:
     def test_request_that_may_have_run_is_not_retried(self):
-        """The connection is cut after the order went out. Sent again, the courier
-        comes twice.
+        """Guards against executing a request twice.
+
+        The connection is lost after an order was sent. A retry could deliver it twice.
         """
         assert decide(Verdict.MAY_HAVE_RUN) == GiveUp(GiveUpCause.MAY_HAVE_RUN)
         assert isinstance(decide(Verdict.MAY_HAVE_RUN, repeatable=True), Retry)
@@ -41,7 +42,7 @@
         assert answer == GiveUp(GiveUpCause.ANSWERED)
 
     def test_only_the_entry_host_retries(self):
-        """Three hops that each try three times send 27 requests to a dead target."""
+        """Three hops with three attempts each would send 27 requests to the target."""
         assert decide(hops=1) == GiveUp(GiveUpCause.NOT_ENTRY_HOST)
 
     def test_no_retry_past_the_deadline(self):
@@ -59,8 +60,9 @@
 
 class TestRetryBudget:
     def test_retries_in_an_outage_are_bounded(self):
-        """A target is down and every request fails. Retries without a bound would
-        keep it down when it comes back.
+        """Guards against overloading a recovering target with retries.
+
+        The target is down and every request fails.
         """
         budget = RetryBudget(0.0)
         n_retries = 0
@@ -101,8 +103,10 @@
         return breaker
 
     def test_breaker_opens_quickly_after_many_successes(self):
-        """A target served thousands of requests and dies. Counted against its past
-        successes, its failures would go on for seconds and use up the retries.
+        """Guards against sending requests to a failed target for seconds.
+
+        A target fails after thousands of successes. If its failures were weighed only
+        against these, the breaker would stay closed and the retries be used up.
         """
         breaker = self.breaker()
         for n in range(2000):
@@ -112,7 +116,7 @@
         assert isinstance(breaker.acquire(20.0), Blocked)
 
     def test_single_probe_closes_the_breaker(self):
-        """A target comes back. All who waited for it at once would fell it again."""
+        """A recovering target would fail again if it got all waiting requests."""
         breaker = self.open_breaker()
         probe = breaker.acquire(1.0)
         assert isinstance(probe, BreakerPermit)
@@ -128,7 +132,7 @@
         assert isinstance(breaker.acquire(1.1), Blocked)
 
     def test_lost_probe_expires(self):
-        """The prober dies with its probe. The target would be left alone for good."""
+        """The sender of a probe fails. The target must not stay excluded forever."""
         breaker = self.open_breaker()
         breaker.acquire(1.0)
         assert isinstance(breaker.acquire(6.1), Blocked)
