--- a/packages/swifttide_core/src/swifttide_core/strikes/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/strikes/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that crash targets."""
+"""Detection and refusal of requests that crash targets."""
 
 from swifttide_core.strikes._crash_classifier import CrashClassifier
 from swifttide_core.strikes._fingerprint import fingerprint_of
--- a/packages/swifttide_core/src/swifttide_core/strikes/_crash_classifier.py
+++ b/packages/swifttide_core/src/swifttide_core/strikes/_crash_classifier.py
@@ -1,28 +1,29 @@
-"""Telling a crash from a cut.
+"""Distinguish the crash of a target from a lost connection.
 
-Load pattern: a stream breaks in the middle, because its target died or because
-something between the two ends lost the connection.
+Load pattern: a stream breaks, because its target crashed or because a component between
+both ends lost the connection.
 
-Without it: a flapping link gives healthy requests strikes, and a request that
-crashes its targets goes on from one to the next.
+Without this module, an unstable link would give strikes to harmless requests, or a
+request that crashes its targets would be sent from one to the next.
 
-Grounds: a target that died comes back under another incarnation; after a cut it
-answers under the same. Until an incarnation is seen, nothing is concluded.
+A target that crashed returns with another incarnation. After a lost connection, it
+answers with the same one. Nothing is concluded until an incarnation has been observed.
 """
 
 from swifttide_core.strikes._strike import Strike
 
 MAX_BROKEN_REQUESTS = 1024
-"""Broken requests kept per target; far above what a target runs at once."""
+"""Maximum number of broken requests that are stored per target, far above the number
+of requests that a target executes concurrently."""
 
 
 class CrashClassifier:
-    """Requests of one target whose connection broke, until the cause is known.
+    """Requests to one target whose connection broke, until the cause is known.
 
     Parameters
     ----------
     target : str
-        Target that is watched, at the host that dispatches to it.
+        Target to which this host dispatches the requests.
     """
 
     def __init__(self, target):
@@ -30,26 +31,26 @@
         self._broken_requests = {}
 
     def record_broken_request(self, fingerprint: str, incarnation: str) -> None:
-        """Note a request whose answer broke off.
+        """Record a request whose answer broke off.
 
         Parameters
         ----------
         fingerprint : str
-            Of the request.
+            Fingerprint of the request.
         incarnation : str
-            Of the target, as it was when the request was dispatched.
+            Incarnation of the target when the request was dispatched.
         """
         self._broken_requests[(fingerprint, incarnation)] = None
         if len(self._broken_requests) > MAX_BROKEN_REQUESTS:
             del self._broken_requests[next(iter(self._broken_requests))]
 
     def classify(self, incarnation: str) -> tuple[Strike, ...]:
-        """Conclude from an answer of the target; return the strikes to report.
+        """Classify the broken requests; return the strikes of those with a crash.
 
         Parameters
         ----------
         incarnation : str
-            Of a fresh answer, asked for after the request broke.
+            Incarnation in an answer that was requested after the connection broke.
         """
         strikes = tuple(
             Strike(fingerprint, self.target, died)
--- a/packages/swifttide_core/src/swifttide_core/strikes/_fingerprint.py
+++ b/packages/swifttide_core/src/swifttide_core/strikes/_fingerprint.py
@@ -1,4 +1,4 @@
-"""Fingerprint of a request, the same for all who send it."""
+"""Fingerprint of a request, independent of its caller and delivery."""
 
 import hashlib
 from collections.abc import Mapping
@@ -20,7 +20,8 @@
         "stream",
     }
 )
-"""Members of a request's body that name who asks, or how it is delivered."""
+"""Members of a request body that identify the caller or the way of delivery. They are
+excluded from the fingerprint."""
 
 DIGEST_BYTES = 16
 
@@ -33,18 +34,19 @@
     document : mapping or bytes
         Decoded JSON body, or a body that is not JSON.
     kind : str
-        What runs it, for instance the model or ``service/path``; a body that
-        crashes one model may be harmless to another.
+        What executes the request, for instance the model or ``service/path``. A body
+        that crashes one model may be harmless to another.
 
     Returns
     -------
     str
-        32 hex digits.
+        Fingerprint of 32 hexadecimal digits.
 
     Notes
     -----
-    A cryptographic hash: with a weaker one a customer could make up a crashing
-    request that has another's fingerprint, and so have the other refused.
+    The hash is cryptographic. With a weaker one, a customer could construct a crashing
+    request with the fingerprint of another customer's request, which would then be
+    refused.
     """
     match document:
         case bytes():
--- a/packages/swifttide_core/src/swifttide_core/strikes/_strike.py
+++ b/packages/swifttide_core/src/swifttide_core/strikes/_strike.py
@@ -1,21 +1,21 @@
-"""A crash that a request may have caused."""
+"""Crash of a target that a request may have caused."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Strike:
-    """One target that died under a request.
+    """Crash of one target while it executed a request.
 
     Parameters
     ----------
     fingerprint : str
-        Of the request.
+        Fingerprint of the request.
     target : str
-        Target that died.
+        Target that crashed.
     incarnation : str
-        Incarnation that died; with the target it names the crash, so that the
-        same crash reported twice is one strike.
+        Incarnation that crashed. Together with the target, it identifies the crash, so
+        that repeated reports of a crash count as one strike.
     """
 
     fingerprint: str
--- a/packages/swifttide_core/src/swifttide_core/strikes/_strike_status.py
+++ b/packages/swifttide_core/src/swifttide_core/strikes/_strike_status.py
@@ -1,30 +1,31 @@
-"""What a strike book says of a request."""
+"""Status of a request by the crashes of its targets."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Clear:
-    """Nothing is held against the request."""
+    """The request has no strikes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Suspect:
-    """One target died under it: run it at a target that runs no other suspect.
+    """One target crashed while it executed the request.
 
-    Two suspects that die together at their second target would both be refused,
-    though only one of them crashes targets.
+    The request must be sent to a target that executes no other suspect. If two suspects
+    were at the same target when it crashed, both would be refused, although only one of
+    them causes crashes.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Two targets died under it.
+    """Two targets crashed while they executed the request.
 
     Parameters
     ----------
     retry_after_seconds : float
-        Until it may be tried again.
+        Time until the request is accepted again.
     """
 
     retry_after_seconds: float
--- a/packages/swifttide_core/src/swifttide_core/strikes/_strike_tracker.py
+++ b/packages/swifttide_core/src/swifttide_core/strikes/_strike_tracker.py
@@ -1,15 +1,16 @@
-"""Refusing requests that crash each target that runs them.
+"""Refuse requests that crash each target that executes them.
 
-Load pattern: a single request kills its target, and its caller sends it again,
-through any entry host and under any program id.
+Load pattern: a single request crashes its target, and its caller sends it again,
+through any entry host and with any program id.
 
-Without it: one caller takes down the targets of a zone one after the other, and
-with each of them all the requests that it was running.
+Without this module, one caller could crash the targets of a zone one after the other,
+together with all the requests that they were executing.
 
-Grounds: two strikes, because a target that dies takes a batch of innocent
-requests along, and one crash may be chance; an innocent request is cleared by the
-first target that runs it to its end. The refusal lasts ten minutes: long against
-a caller's retries, short enough to see that a new version of the engine copes.
+A request is refused after two strikes. One strike is not sufficient, since a crash
+affects all requests in the batch of the target and may be a coincidence; a harmless
+request is cleared by the first target that completes it. A refusal lasts ten minutes,
+which is long compared with the retries of a caller, and short enough to notice that a
+new version of the engine handles the request.
 """
 
 import heapq
@@ -19,31 +20,31 @@
 from swifttide_core.strikes._strike_status import Clear, Refused, Suspect
 
 STRIKES_TO_REFUSE = 2
-"""Crashes after which a request is refused."""
+"""Number of crashes after which a request is refused."""
 
 REFUSAL_SECONDS = 600.0
-"""How long a refusal lasts, counted from the last strike."""
+"""Duration of a refusal, counted from the last strike."""
 
 STRIKE_RETENTION_SECONDS = 600.0
-"""How long a strike counts for another one."""
+"""Maximum time between two strikes that count together."""
 
 MAX_FINGERPRINTS = 4096
-"""Fingerprints kept by one book, some 400 bytes each."""
+"""Maximum number of stored fingerprints, of about 400 bytes each."""
 
 MAX_STRIKES_PER_FINGERPRINT = 4
-"""Strikes kept per fingerprint; more than two change nothing."""
+"""Maximum number of strikes stored per fingerprint; more than two have no effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class StrikeRecord:
-    """One strike on its way to another host, whose clock is another.
+    """Strike in a form for another host, whose clock differs.
 
     Parameters
     ----------
     strike : Strike
-        The crash.
+        Strike with the crashed target.
     age_seconds : float
-        How long ago it was noted.
+        Time since the strike was recorded.
     """
 
     strike: Strike
@@ -51,12 +52,12 @@
 
 
 class StrikeTracker:
-    """Strikes of the fingerprints of one slot, at its holder.
+    """Strikes of all fingerprints of one slot, managed by its holder.
 
     Parameters
     ----------
     max_fingerprints : int
-        Bound of its memory.
+        Maximum number of stored fingerprints.
     """
 
     def __init__(self, max_fingerprints=MAX_FINGERPRINTS):
@@ -64,21 +65,21 @@
         self._crash_times = {}
 
     def record_strike(self, now: float, strike: Strike) -> Clear | Suspect | Refused:
-        """Note a crash; the same crash again changes nothing."""
+        """Record a crash and return the new status; repeated reports are ignored."""
         self._record(now, strike)
         return self.status_of(now, strike.fingerprint)
 
     def record_success(self, now: float, fingerprint: str) -> None:
-        """Note that a target ran the request to its end.
+        """Record that a target completed the request, which clears its strikes.
 
-        A request that is refused stays refused: a target may survive by chance,
-        or by running another version.
+        A refused request stays refused, since a target may survive by chance or because
+        it runs another version.
         """
         if not isinstance(self.status_of(now, fingerprint), Refused):
             self._crash_times.pop(fingerprint, None)
 
     def status_of(self, now: float, fingerprint: str) -> Clear | Suspect | Refused:
-        """Return what is held against a request."""
+        """Return the status of a request."""
         times = self._crash_times.get(fingerprint)
         if times is None:
             return Clear()
@@ -93,27 +94,27 @@
     def export(self, now: float) -> tuple[StrikeRecord, ...]:
         """Return all strikes, for the slot's next holder."""
         return tuple(
-            StrikeRecord(Strike(fingerprint, target, incarnation), now - noted)
+            StrikeRecord(Strike(fingerprint, target, incarnation), now - recorded_at)
             for fingerprint, times in self._crash_times.items()
-            for (target, incarnation), noted in times.items()
+            for (target, incarnation), recorded_at in times.items()
         )
 
     def merge(self, now: float, records: tuple[StrikeRecord, ...]) -> None:
-        """Take in another book's strikes; the order and repeats don't matter."""
+        """Add the strikes of another tracker, in any order and possibly repeated."""
         for record in records:
             self._record(now - max(0.0, record.age_seconds), record.strike)
 
-    def _record(self, noted, strike):
+    def _record(self, recorded_at, strike):
         known = self._crash_times.get(strike.fingerprint, {})
-        newest = max(noted, *known.values()) if known else noted
-        # Two crashes a day apart are chance. Kept until somebody happens to ask, the
-        # first would make the second a refusal now and then.
+        newest = max(recorded_at, *known.values()) if known else recorded_at
+        # Two crashes a day apart are a coincidence. If the first were stored until the
+        # next status lookup, the second could cause a refusal.
         times = {
             c: t for c, t in known.items() if newest - t < STRIKE_RETENTION_SECONDS
         }
-        if newest - noted < STRIKE_RETENTION_SECONDS:
+        if newest - recorded_at < STRIKE_RETENTION_SECONDS:
             crash = (strike.target, strike.incarnation)
-            times[crash] = min(noted, times.get(crash, noted))
+            times[crash] = min(recorded_at, times.get(crash, recorded_at))
         self._crash_times[strike.fingerprint] = times
         if len(times) > MAX_STRIKES_PER_FINGERPRINT:
             del times[min(times, key=lambda c: (times[c], c))]
@@ -121,10 +122,10 @@
             self._evict()
 
     def _evict(self):
-        """Drop the quarter that matters least: few strikes, long ago."""
+        """Evict a quarter of the fingerprints: those with few and old strikes first."""
         n_drop = max(1, self.max_fingerprints // 4)
-        least = heapq.nsmallest(n_drop, self._crash_times.items(), key=_eviction_key)
-        for fingerprint, _ in least:
+        evicted = heapq.nsmallest(n_drop, self._crash_times.items(), key=_eviction_key)
+        for fingerprint, _ in evicted:
             del self._crash_times[fingerprint]
 
 
