--- a/packages/swifttide_core/src/swifttide_core/verdicts/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/verdicts/__init__.py
@@ -1,4 +1,4 @@
-"""Verdicts and refusals: what became of a request."""
+"""Verdicts and refusals, which describe the outcome of a request."""
 
 from swifttide_core.verdicts._reason import Reason
 from swifttide_core.verdicts._refusal import HTTP_STATUS, Refusal
--- a/packages/swifttide_core/src/swifttide_core/verdicts/_reason.py
+++ b/packages/swifttide_core/src/swifttide_core/verdicts/_reason.py
@@ -1,10 +1,10 @@
-"""Why a request was refused or failed."""
+"""Reasons for which a request is refused or fails."""
 
 from enum import StrEnum
 
 
 class Reason(StrEnum):
-    """Machine-readable cause in a problem body, stable across versions."""
+    """Machine-readable reason in a problem body, stable across versions."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
--- a/packages/swifttide_core/src/swifttide_core/verdicts/_refusal.py
+++ b/packages/swifttide_core/src/swifttide_core/verdicts/_refusal.py
@@ -1,4 +1,4 @@
-"""The typed error that every layer passes on, from the core to the caller."""
+"""Error of a refused or failed request, which all layers pass on to the caller."""
 
 from dataclasses import dataclass, replace
 
@@ -28,24 +28,24 @@
     Reason.TIMEOUT: 504,
     Reason.INTERNAL: 500,
 }
-"""Status of the answer for each reason."""
+"""HTTP status code for each reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A request that was refused or failed.
+    """Error of a request that was refused or failed.
 
     Parameters
     ----------
     reason : Reason
-        Machine-readable cause.
+        Machine-readable reason.
     detail : str
-        One sentence for a person; never holds a key or a header value.
+        One sentence for human readers. It must not contain keys or header values.
     verdict : Verdict
         Whether the request may have run.
     retry_after_seconds : float or None
-        When to come back, measured where the refusal was decided; None when
-        sending the same request again can't help.
+        Time after which the request may be sent again, counted from the decision; None
+        if sending the same request again cannot succeed.
     """
 
     reason: Reason
@@ -55,7 +55,7 @@
 
     @property
     def status(self) -> int:
-        """HTTP status of the answer."""
+        """HTTP status code of the answer."""
         return HTTP_STATUS[self.reason]
 
     def with_verdict(self, verdict: Verdict) -> "Refusal":
@@ -63,15 +63,16 @@
         return replace(self, verdict=verdict)
 
     def with_earlier_attempts(self, may_have_run: bool) -> "Refusal":
-        """Return a refusal that is also true of earlier tries of the request.
+        """Return a refusal whose verdict also covers earlier attempts of the request.
 
-        The last try's "not run" says nothing of a try before it whose answer was
-        lost; passed on as it is, a caller would take a charge for not made.
+        The verdict ``not_run`` of the last attempt does not apply to an earlier attempt
+        whose answer was lost. Otherwise, a caller could wrongly conclude that, for
+        example, a payment was not made.
 
         Parameters
         ----------
         may_have_run : bool
-            Whether an earlier try may have run.
+            Whether an earlier attempt may have run.
         """
         if may_have_run and self.verdict is Verdict.NOT_RUN:
             return self.with_verdict(Verdict.MAY_HAVE_RUN)
--- a/packages/swifttide_core/src/swifttide_core/verdicts/_verdict.py
+++ b/packages/swifttide_core/src/swifttide_core/verdicts/_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict of a request: whether a target may have run it."""
+"""Verdict of a request: whether a target may have executed it."""
 
 from enum import StrEnum
 
@@ -8,15 +8,15 @@
 
     Notes
     -----
-    The values are the wire form, in the ``Swifttide-Verdict`` header and in the
-    ``verdict`` member of every problem body.
+    The values are sent in the ``Swifttide-Verdict`` header and in the ``verdict``
+    member of every problem body.
     """
 
     NOT_RUN = "not_run"
     """No byte of the request can have reached a target."""
 
     RAN = "ran"
-    """The target answered; the effect took place exactly once."""
+    """The target answered; the request took effect exactly once."""
 
     MAY_HAVE_RUN = "may_have_run"
-    """Bytes went out and no answer settled what became of them."""
+    """Bytes were sent, and no answer shows whether the request took effect."""
