--- a/benchmarks/limits/retry_load.py
+++ b/benchmarks/limits/retry_load.py
@@ -118,7 +118,7 @@
             False,
             0,
             now=now,
-            n_tries=n_tries,
+            n_attempts=n_tries,
             deadline=float("inf"),
             budgets=(self.budgets[target], self.customer),
             backoff=self.backoff,
--- a/packages/swifttide_core/src/swifttide_core/limits/_customer_share.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_customer_share.py
@@ -1,7 +1,8 @@
 """Share of a customer's rate and burst in one zone, managed by the holder of its slot.
 
-The holder has a token bucket per customer and lends tokens to entry hosts in small
-batches with a short lifetime.
+Each customer belongs to a slot, which one host of a zone holds at a time under a lease.
+The holder has a token bucket per customer. It lends tokens to entry hosts, which
+receive the requests, in small batches with a short lifetime.
 
 Load pattern: requests of one customer arrive at any entry host of the zone, at several
 times its rate, in bursts, or with less than one request per host and second. Meanwhile,
--- a/packages/swifttide_core/src/swifttide_core/retries/_backoff.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_backoff.py
@@ -43,9 +43,9 @@
         """Return a backoff with reproducible delays."""
         return cls(random.Random(seed))
 
-    def next_delay(self, n_tries: int) -> float:
-        """Return the delay in seconds after the first ``n_tries`` attempts."""
+    def next_delay(self, n_attempts: int) -> float:
+        """Return the delay in seconds after the first ``n_attempts`` attempts."""
         # A large power of 2.0 overflows. No bound needs more than 30 doublings.
-        n_doublings = min(max(0, n_tries - 1), 30)
+        n_doublings = min(max(0, n_attempts - 1), 30)
         bound = min(self.max_seconds, self.base_seconds * 2.0**n_doublings)
         return self.rng.uniform(0.0, bound)
--- a/packages/swifttide_core/src/swifttide_core/retries/_circuit_breaker.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_circuit_breaker.py
@@ -49,15 +49,15 @@
     ----------
     now : float
         Monotonic seconds.
-    probe_seconds : float
+    probe_timeout_seconds : float
         Time after which a probe without a result counts as failed: the maximum
         duration of a request to the target.
     rng : random.Random
         Random generator for the jitter.
     """
 
-    def __init__(self, now, probe_seconds, rng):
-        self.probe_seconds = probe_seconds
+    def __init__(self, now, probe_timeout_seconds, rng):
+        self.probe_timeout_seconds = probe_timeout_seconds
         self.rng = rng
         self.state = Closed(0.0, 0.0, now)
         self._n_permits = 0
@@ -70,7 +70,7 @@
                 return self._next_permit()
             case Open(until, n_consecutive_opens) if now >= until:
                 probe = self._next_permit()
-                probe_expires_at = now + self.probe_seconds
+                probe_expires_at = now + self.probe_timeout_seconds
                 self.state = HalfOpen(
                     probe.number, probe_expires_at, n_consecutive_opens
                 )
--- a/packages/swifttide_core/src/swifttide_core/retries/_decide_retry.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/_decide_retry.py
@@ -28,10 +28,10 @@
 def decide_retry(
     verdict: Verdict,
     repeatable: bool,
-    hops: int,
+    n_hops: int,
     *,
     now: float,
-    n_tries: int,
+    n_attempts: int,
     deadline: float,
     budgets: Sequence[RetryBudget],
     backoff: Backoff,
@@ -45,11 +45,11 @@
         Whether the attempt may have run.
     repeatable : bool
         Whether the request may run more than once.
-    hops : int
+    n_hops : int
         Number of hops between hosts that the request has made; 0 at its entry host.
     now : float
         Monotonic seconds.
-    n_tries : int
+    n_attempts : int
         Number of attempts so far, at least 1.
     deadline : float
         Deadline of the request, in monotonic seconds.
@@ -64,10 +64,10 @@
     -------
     Retry or GiveUp
     """
-    cause = _give_up_cause(verdict, repeatable, hops, n_tries)
+    cause = _give_up_cause(verdict, repeatable, n_hops, n_attempts)
     if cause is not None:
         return GiveUp(cause)
-    after = max(backoff.next_delay(n_tries), min_delay_seconds)
+    after = max(backoff.next_delay(n_attempts), min_delay_seconds)
     if now + after >= deadline:
         return GiveUp(GiveUpCause.DEADLINE)
     if not all(budget.has_retry(now) for budget in budgets):
@@ -77,13 +77,13 @@
     return Retry(after)
 
 
-def _give_up_cause(verdict, repeatable, hops, n_tries):
+def _give_up_cause(verdict, repeatable, n_hops, n_attempts):
     if verdict is Verdict.RAN:
         return GiveUpCause.ANSWERED
     if verdict is Verdict.MAY_HAVE_RUN and not repeatable:
         return GiveUpCause.MAY_HAVE_RUN
-    if hops > 0:
+    if n_hops > 0:
         return GiveUpCause.NOT_ENTRY_HOST
-    if n_tries >= MAX_ATTEMPTS:
+    if n_attempts >= MAX_ATTEMPTS:
         return GiveUpCause.TRIES
     return None
--- a/packages/swifttide_core/src/swifttide_core/retries/tests/test_retries.py
+++ b/packages/swifttide_core/src/swifttide_core/retries/tests/test_retries.py
@@ -17,15 +17,15 @@
 from swifttide_core.verdicts import Verdict
 
 
-def decide(verdict=Verdict.NOT_RUN, repeatable=False, hops=0, **options):
+def decide(verdict=Verdict.NOT_RUN, repeatable=False, n_hops=0, **options):
     given = {
         "now": 0.0,
-        "n_tries": 1,
+        "n_attempts": 1,
         "deadline": 60.0,
         "budgets": (RetryBudget(0.0),),
         "backoff": Backoff.from_seed(1),
     }
-    return decide_retry(verdict, repeatable, hops, **{**given, **options})
+    return decide_retry(verdict, repeatable, n_hops, **{**given, **options})
 
 
 class TestDecideRetry:
@@ -43,7 +43,7 @@
 
     def test_only_the_entry_host_retries(self):
         """Three hops with three attempts each would send 27 requests to the target."""
-        assert decide(hops=1) == GiveUp(GiveUpCause.NOT_ENTRY_HOST)
+        assert decide(n_hops=1) == GiveUp(GiveUpCause.NOT_ENTRY_HOST)
 
     def test_no_retry_past_the_deadline(self):
         answer = decide(min_delay_seconds=61.0)
--- a/packages/swifttide_core/src/swifttide_core/strikes/tests/test_strikes.py
+++ b/packages/swifttide_core/src/swifttide_core/strikes/tests/test_strikes.py
@@ -40,7 +40,7 @@
         assert fingerprint_of(BODY, "m1") != fingerprint_of(BODY, "m2")
 
 
-class TestCrashWatch:
+class TestCrashClassifier:
     def test_lost_connection_is_no_crash(self):
         """Guards against refusing a harmless request after two lost connections."""
         classifier = CrashClassifier("t1")
@@ -55,7 +55,7 @@
         assert classifier.classify("i3") == ()
 
 
-class TestStrikeBook:
+class TestStrikeTracker:
     def test_second_crash_refuses_the_request_temporarily(self):
         """Guards against a request that crashes each target that executes it.
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_retry_account.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_retry_account.py
@@ -52,7 +52,7 @@
                 repeatable,
                 0,
                 now=now,
-                n_tries=n_tries,
+                n_attempts=n_tries,
                 deadline=deadline,
                 budgets=self._pair(target, customer, now),
                 backoff=self.backoff,
