--- a/packages/swifttide_core/src/swifttide_core/limits/_zone_shares.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_zone_shares.py
@@ -152,6 +152,6 @@
     """
     parts = [*shares.zones.values(), *shares.offers.values()]
     if any(part < 0.0 for part in parts):
-        raise ValueError(f"got a negative fraction in {parts}, expected none")
+        raise ValueError(f"got fractions {parts}, expected none below 0")
     if abs(sum(parts) - 1.0) > SUM_TOLERANCE:
-        raise ValueError(f"got fractions that add up to {sum(parts)}, expected 1")
+        raise ValueError(f"fractions add up to {sum(parts)}, expected 1")
--- a/packages/swifttide_core/src/swifttide_core/limits/tests/test_zone_share_manager.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/tests/test_zone_share_manager.py
@@ -26,7 +26,7 @@
         """Guards against using a fraction in two zones at once.
 
         A zone offers a fraction and another accepts it. If both used it at the same
-        time, its requests would be admitted twice.
+        time, requests would be admitted twice.
         """
         manager, now = manager_with_demand_from_other_zone()
         offered = manager.next_write(now)
--- a/packages/swifttide_core/src/swifttide_core/routing/_router.py
+++ b/packages/swifttide_core/src/swifttide_core/routing/_router.py
@@ -192,9 +192,9 @@
         return max(reported + local.change_since_report, local.outstanding)
 
     def _no_target(self, req: RouteRequest) -> NoTarget:
-        detail = f"no target that serves {req.serves!r} takes work"
+        detail = f"no target that serves {req.serves!r} accepts calls"
         if req.avoid:
-            detail = f"every target that serves {req.serves!r} was tried"
+            detail = f"all targets that serve {req.serves!r} were already tried"
         return NoTarget(
             Refusal(
                 Reason.NO_TARGET,
--- a/packages/swifttide_core/src/swifttide_core/strikes/_crash_classifier.py
+++ b/packages/swifttide_core/src/swifttide_core/strikes/_crash_classifier.py
@@ -53,9 +53,9 @@
             Incarnation in an answer that was requested after the connection broke.
         """
         strikes = tuple(
-            Strike(fingerprint, self.target, died)
-            for fingerprint, died in self._broken_requests
-            if died != incarnation
+            Strike(fingerprint, self.target, dispatched_to)
+            for fingerprint, dispatched_to in self._broken_requests
+            if dispatched_to != incarnation
         )
         self._broken_requests.clear()
         return strikes
