--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_gateway.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_gateway.py
@@ -25,11 +25,11 @@
 from swifttide_daemon.gateway.callers._forwarder import Forwarder
 from swifttide_daemon.gateway.callers._frontend import Frontend
 from swifttide_daemon.gateway.callers._program_entry import ProgramEntry
-from swifttide_daemon.gateway.peers._datagrams import Datagrams
+from swifttide_daemon.gateway.peers._beacon_exchange import BeaconExchange
+from swifttide_daemon.gateway.peers._datagrams import PeerDatagrams
 from swifttide_daemon.gateway.peers._fleet import Fleet
-from swifttide_daemon.gateway.peers._isolation import Isolation
+from swifttide_daemon.gateway.peers._isolation import IsolationDetector
 from swifttide_daemon.gateway.peers._keeper_choice import KeeperChoice
-from swifttide_daemon.gateway.peers._news import News
 from swifttide_daemon.gateway.peers._peer import Peer
 from swifttide_daemon.gateway.peers._peer_client import PeerClient
 from swifttide_daemon.gateway.peers._peer_server import PeerServer
@@ -123,8 +123,8 @@
             log,
         )
         self._peer_server = PeerServer(self._peer_service.answer, log)
-        self._datagrams = Datagrams(self._fleet, log)
-        self._isolation = Isolation(self._fleet, self._store, log)
+        self._datagrams = PeerDatagrams(self._fleet, log)
+        self._isolation = IsolationDetector(self._fleet, self._store, log)
         self._rates = RateKeeper(
             self._fleet,
             lambda: self._shares.holders(),
@@ -152,8 +152,8 @@
             self._datagrams.send,
             log,
         )
-        self._datagrams.on_rate = self._rates.take_message
-        self._datagrams.on_order = self._order.take_message
+        self._datagrams.on_rate_message = self._rates.take_message
+        self._datagrams.on_order_message = self._order.take_message
 
     def _follow_store(self):
         self._feeds = TableFeeds.build(
@@ -207,7 +207,7 @@
             log,
         )
         self._entry = ProgramEntry(self.beliefs, self._health, self._order, log)
-        elsewhere_after = self._isolation.elsewhere_after
+        elsewhere_after = self._isolation.retry_elsewhere_seconds
         self._forwarder = Forwarder(
             cfg,
             self.beliefs,
@@ -265,7 +265,7 @@
             lambda: self._cfg.stop_seconds,
             log,
         )
-        news = News(
+        exchange = BeaconExchange(
             self._fleet.own,
             self._store,
             self._health,
@@ -276,9 +276,9 @@
             self._lender,
             self._order,
         )
-        self._datagrams.compose = news.compose
-        self._datagrams.tells_all = lambda: self._rates.share > 0.0
-        self._datagrams.on_beacon = news.take
+        self._datagrams.compose_beacon = exchange.compose_beacon
+        self._datagrams.sends_to_all = lambda: self._rates.share > 0.0
+        self._datagrams.on_beacon = exchange.handle_beacon
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serve until ``stop`` is set, then leave without cutting a request."""
@@ -324,7 +324,7 @@
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
             self._pool.close_expired()
             self.beliefs.drop_lapsed()
-            self._isolation.check()
+            self._isolation.update()
 
     def _forget_target(self, target_id: str) -> None:
         """Drop what is known of a target that has left."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_status_pages.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_status_pages.py
@@ -9,7 +9,7 @@
 from swifttide_daemon.gateway.budgets._token_lender import TokenLender
 from swifttide_daemon.gateway.callers._program_entry import ProgramEntry
 from swifttide_daemon.gateway.peers._fleet import Fleet
-from swifttide_daemon.gateway.peers._isolation import Isolation
+from swifttide_daemon.gateway.peers._isolation import IsolationDetector
 from swifttide_daemon.gateway.rates._rate_keeper import RateKeeper
 from swifttide_daemon.gateway.rates._share_keeper import ShareKeeper
 from swifttide_daemon.gateway.store._relayed_store import RelayedStore
@@ -46,7 +46,7 @@
         beliefs: Beliefs,
         fleet: Fleet,
         store: RelayedStore,
-        isolation: Isolation,
+        isolation: IsolationDetector,
         rates: RateKeeper,
         shares: ShareKeeper,
         entry: ProgramEntry,
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from swifttide_daemon.gateway.peers._beacon_rounds import ROUND_SECONDS
+from swifttide_daemon.gateway.peers._beacon_rounds import BEACON_INTERVAL_SECONDS
 
 
 class Beacon(msgspec.Struct, array_like=True, tag="beacon"):
@@ -54,5 +54,5 @@
     outstanding: dict[str, int] = {}
     strikes: list[tuple[str, str, str]] = []
     lending: list[int] = []
-    pause_seconds: float = ROUND_SECONDS
+    pause_seconds: float = BEACON_INTERVAL_SECONDS
     cores: float = 1.0
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_news.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_exchange.py
@@ -10,11 +10,11 @@
 from swifttide_daemon.gateway.targets._target_health import TargetHealth
 from swifttide_daemon.gateway.turns._turn_memory import TurnMemory
 
-MAX_STRIKES = 8
+MAX_STRIKES_PER_BEACON = 8
 """Crashes told in one beacon: some 100 bytes each, in a datagram of one packet."""
 
 
-class News:
+class BeaconExchange:
     """Composes beacons and hands the parts of others' beacons on.
 
     Parameters
@@ -52,7 +52,7 @@
         self._lender = lender
         self._order = order
 
-    def compose(self, number: int, pause_seconds: float) -> Beacon:
+    def compose_beacon(self, number: int, pause_seconds: float) -> Beacon:
         """Return this host's beacon.
 
         Parameters
@@ -75,13 +75,13 @@
             config_change=self._config_watch.newest_change,
             target_change=self._targets_watch.newest_change,
             outstanding=self._health.own_counts(),
-            strikes=self._strikes.news()[:MAX_STRIKES],
+            strikes=self._strikes.news()[:MAX_STRIKES_PER_BEACON],
             lending=sorted(self._lender.slots()),
             pause_seconds=pause_seconds,
             cores=own.cores,
         )
 
-    def take(self, beacon: Beacon) -> None:
+    def handle_beacon(self, beacon: Beacon) -> None:
         """Take another host's beacon; whether it is heard, the fleet notes itself."""
         self._health.told(beacon.ip, beacon.outstanding, beacon.pause_seconds)
         self._order.told(beacon.ip, beacon.outstanding)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_rounds.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_rounds.py
@@ -18,11 +18,11 @@
 
 from swifttide_daemon.gateway.peers._peer import Peer
 
-ROUND_SECONDS = 0.2
+BEACON_INTERVAL_SECONDS = 0.2
 """Between rounds; a fifth of a turn's usual time, so counts are fresh enough."""
 
-OWN_ZONE_PEERS = 24
-OTHER_ZONE_PEERS = 16
+OWN_ZONE_PEERS_PER_ROUND = 24
+OTHER_ZONE_PEERS_PER_ROUND = 16
 """Hosts that get a beacon in one round; with fewer of them, each gets one each time."""
 
 
@@ -43,7 +43,7 @@
 
 
 def beacon_groups(
-    peers: Iterable[Peer], zone: str, number: int, tells_all: bool
+    peers: Iterable[Peer], zone: str, number: int, sends_to_all: bool
 ) -> list[BeaconGroup]:
     """Return who gets a beacon in a round.
 
@@ -58,21 +58,21 @@
         Whether all hosts get each beacon.
     """
     peers = list(peers)
-    if tells_all:
-        return [BeaconGroup(tuple(peers), ROUND_SECONDS)]
+    if sends_to_all:
+        return [BeaconGroup(tuple(peers), BEACON_INTERVAL_SECONDS)]
     own = [p for p in peers if p.zone == zone]
     other = [p for p in peers if p.zone != zone]
     return [
-        _group(own, OWN_ZONE_PEERS, number),
-        _group(other, OTHER_ZONE_PEERS, number),
+        _group(own, OWN_ZONE_PEERS_PER_ROUND, number),
+        _group(other, OTHER_ZONE_PEERS_PER_ROUND, number),
     ]
 
 
-def _group(peers, most, number) -> BeaconGroup:
-    n_turns = max(1, -(-len(peers) // most))
-    due = tuple(p for p in peers if (_turn(p) + number) % n_turns == 0)
-    return BeaconGroup(due, ROUND_SECONDS * n_turns)
+def _group(peers, max_peers, number) -> BeaconGroup:
+    n_turns = max(1, -(-len(peers) // max_peers))
+    due = tuple(p for p in peers if (_round_offset(p) + number) % n_turns == 0)
+    return BeaconGroup(due, BEACON_INTERVAL_SECONDS * n_turns)
 
 
-def _turn(peer):
+def _round_offset(peer):
     return xxhash.xxh32_intdigest(peer.ip.encode())
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_datagrams.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_datagrams.py
@@ -11,7 +11,10 @@
 import msgspec
 
 from swifttide_daemon.gateway.peers._beacon import Beacon
-from swifttide_daemon.gateway.peers._beacon_rounds import ROUND_SECONDS, beacon_groups
+from swifttide_daemon.gateway.peers._beacon_rounds import (
+    BEACON_INTERVAL_SECONDS,
+    beacon_groups,
+)
 from swifttide_daemon.gateway.peers._fleet import Fleet
 from swifttide_daemon.gateway.peers._peer import Peer
 from swifttide_daemon.gateway.rates._rate_messages import RateMessage
@@ -29,7 +32,7 @@
 _decoder = msgspec.json.Decoder(Datagram)
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class PeerDatagrams(asyncio.DatagramProtocol):
     """Sends this host's beacon and carries other short messages.
 
     Parameters
@@ -42,12 +45,16 @@
         self._fleet = fleet
         self._log = log
         self._transport = None
-        self._newest: dict[str, tuple[str, int]] = {}
-        self.compose: Callable[[int, float], Beacon] | None = None
-        self.tells_all: Callable[[], bool] = lambda: False
+        self._newest_beacons: dict[str, tuple[str, int]] = {}
+        self.compose_beacon: Callable[[int, float], Beacon] | None = None
+        self.sends_to_all: Callable[[], bool] = lambda: False
         self.on_beacon: Callable[[Beacon], None] = lambda beacon: None
-        self.on_rate: Callable[[RateMessage, str], None] = lambda message, ip: None
-        self.on_order: Callable[[OrderMessage, str], None] = lambda message, ip: None
+        self.on_rate_message: Callable[[RateMessage, str], None] = lambda message, ip: (
+            None
+        )
+        self.on_order_message: Callable[[OrderMessage, str], None] = (
+            lambda message, ip: None
+        )
 
     async def listen(self, ip: str, port: int) -> None:
         """Open the port."""
@@ -62,15 +69,15 @@
         while True:
             number += 1
             self._send_beacons(number)
-            self._fleet.note_silent()
-            await asyncio.sleep(ROUND_SECONDS * random.uniform(0.9, 1.1))
+            self._fleet.log_lost_peers()
+            await asyncio.sleep(BEACON_INTERVAL_SECONDS * random.uniform(0.9, 1.1))
 
     def _send_beacons(self, number):
         peers, zone = self._fleet.all(), self._fleet.own.zone
-        for group in beacon_groups(peers, zone, number, self.tells_all()):
+        for group in beacon_groups(peers, zone, number, self.sends_to_all()):
             if not group.peers:
                 continue
-            beacon = self.compose(number, group.pause_seconds)
+            beacon = self.compose_beacon(number, group.pause_seconds)
             message = msgspec.json.encode(beacon)
             for peer in group.peers:
                 self._transport.sendto(message, (peer.ip, peer.port))
@@ -91,22 +98,22 @@
             return
         match message:
             case Beacon():
-                self._take_beacon(message)
+                self._handle_beacon(message)
             case AskEntry() | AskPlace() | OrderAnswer() | TurnLeft():
-                self.on_order(message, addr[0])
+                self.on_order_message(message, addr[0])
             case _:
-                self.on_rate(message, addr[0])
+                self.on_rate_message(message, addr[0])
 
     def error_received(self, exc: OSError) -> None:
         """Ignore that a peer's port is closed: its silence says as much."""
 
-    def _take_beacon(self, beacon):
-        boot, number = self._newest.get(beacon.ip, ("", 0))
+    def _handle_beacon(self, beacon):
+        boot, number = self._newest_beacons.get(beacon.ip, ("", 0))
         if beacon.boot == boot and beacon.number <= number:
             return
-        self._newest[beacon.ip] = (beacon.boot, beacon.number)
+        self._newest_beacons[beacon.ip] = (beacon.boot, beacon.number)
         peer = Peer(beacon.ip, beacon.port, beacon.zone, beacon.boot, beacon.cores)
-        self._fleet.heard(
+        self._fleet.record_beacon(
             peer,
             beacon.store_up,
             beacon.away_seconds,
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_fleet.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_fleet.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from swifttide_core.forwarding import Homes, RegionMap
-from swifttide_daemon.gateway.peers._beacon_rounds import ROUND_SECONDS
+from swifttide_daemon.gateway.peers._beacon_rounds import BEACON_INTERVAL_SECONDS
 from swifttide_daemon.gateway.peers._peer import Peer
 from swifttide_daemon.gateway.store._shared_store import (
     Applied,
@@ -19,23 +19,23 @@
 )
 from swifttide_daemon.telemetry import EventLog
 
-TABLE = "fleet"
-HOST_PREFIX = "host/"
+FLEET_TABLE = "fleet"
+HOST_KEY_PREFIX = "host/"
 
-HEARD_BEACONS = 3.5
+PEER_TIMEOUT_INTERVALS = 3.5
 """A host of which three beacons in a row are missing counts as out of reach."""
 
-ZONE_HEARD_SECONDS = 0.7
+ZONE_TIMEOUT_SECONDS = 0.7
 """A zone counts as out of reach when none of its hosts was heard for so long. Each
 round brings beacons of some of them, in a fleet of any size."""
 
-COUNT_SECONDS = 0.2
+HEARD_FRACTION_CACHE_SECONDS = 0.2
 """Between counts of the hosts that are heard: a beacon's pause."""
 
-FEED_HOSTS = 24
+MIN_PEERS_FOR_FEEDERS = 24
 """Other hosts from which on some ask the store for the others."""
 
-N_FEEDERS = 2
+FEEDERS_PER_ZONE = 2
 """Hosts in each zone that ask the store themselves: one may be lost."""
 
 REGISTER_RETRY_SECONDS = 0.3
@@ -61,33 +61,33 @@
         self._log = log
         self._peers: dict[str, Peer] = {}
         self._heard_at: dict[str, float] = {}
-        self._missed_at: dict[str, float] = {}
+        self._first_missed_at: dict[str, float] = {}
         self._heard_until: dict[str, float] = {}
         self._zone_heard_at: dict[str, float] = {}
         self._store_up: dict[str, bool] = {}
         self._store_full: dict[str, bool] = {}
         self._lending: dict[str, frozenset[int]] = {}
-        self._away_at: dict[str, float] = {}
+        self._last_store_outage_at: dict[str, float] = {}
         self._lost: set[str] = set()
-        self._heard_part = 1.0
-        self._counted_at = float("-inf")
+        self._heard_fraction = 1.0
+        self._heard_fraction_at = float("-inf")
 
     async def register(self, store: SharedStore) -> None:
         """Write this host's row, however long it takes."""
         value = msgspec.json.encode(msgspec.structs.asdict(_HostRow.of(self.own)))
-        key = RowKey(TABLE, "", HOST_PREFIX + self.own.ip)
+        key = RowKey(FLEET_TABLE, "", HOST_KEY_PREFIX + self.own.ip)
         tx = Transaction(puts=(Put(key, value),))
         while not isinstance(await store.commit(tx), Applied):
             await asyncio.sleep(REGISTER_RETRY_SECONDS)
 
     async def leave(self, store: SharedStore) -> None:
         """Remove this host's row."""
-        key = RowKey(TABLE, "", HOST_PREFIX + self.own.ip)
+        key = RowKey(FLEET_TABLE, "", HOST_KEY_PREFIX + self.own.ip)
         await store.commit(Transaction(removes=(key,)))
 
     def take_row(self, row: StoredRow) -> None:
         """Take a row of the fleet's table."""
-        ip = row.key.key.removeprefix(HOST_PREFIX)
+        ip = row.key.key.removeprefix(HOST_KEY_PREFIX)
         if ip == self.own.ip:
             return
         peer = _decode(row.value)
@@ -98,20 +98,20 @@
 
     def take_all(self, rows: tuple[StoredRow, ...]) -> None:
         """Take all rows; hosts that aren't among them have left."""
-        ips = {r.key.key.removeprefix(HOST_PREFIX) for r in rows}
+        ips = {r.key.key.removeprefix(HOST_KEY_PREFIX) for r in rows}
         for ip in set(self._peers) - ips:
             del self._peers[ip]
         for row in rows:
             self.take_row(row)
 
-    def heard(
+    def record_beacon(
         self,
         peer: Peer,
         store_up: bool,
         away_seconds: float | None = None,
         store_full: bool = False,
         lending: frozenset[int] = frozenset(),
-        pause_seconds: float = ROUND_SECONDS,
+        pause_seconds: float = BEACON_INTERVAL_SECONDS,
     ) -> None:
         """Note a sign of life.
 
@@ -136,17 +136,19 @@
             self._peers[ip] = peer
         now = asyncio.get_running_loop().time()
         self._heard_at[ip] = self._zone_heard_at[peer.zone] = now
-        self._heard_until[ip] = now + HEARD_BEACONS * pause_seconds
+        self._heard_until[ip] = now + PEER_TIMEOUT_INTERVALS * pause_seconds
         self._store_up[ip] = store_up
         self._store_full[ip] = store_full
         if away_seconds is not None:
-            self._away_at[ip] = max(self._away_at.get(ip, 0.0), now - away_seconds)
+            self._last_store_outage_at[ip] = max(
+                self._last_store_outage_at.get(ip, 0.0), now - away_seconds
+            )
         self._lending[ip] = lending
         if ip in self._lost:
             self._lost.discard(ip)
             self._log.info("peer_regained", peer=ip)
 
-    def note_silent(self) -> None:
+    def log_lost_peers(self) -> None:
         """Log peers that have fallen silent."""
         alive = {p.ip for p in self.alive()}
         for ip in set(self._heard_at) & set(self._peers) - alive - self._lost:
@@ -171,20 +173,20 @@
         now = asyncio.get_running_loop().time()
         return now < self._heard_until.get(ip, float("-inf"))
 
-    def heard_part(self) -> float:
+    def heard_fraction(self) -> float:
         """Return the part of all hosts that are heard, this one included."""
         now = asyncio.get_running_loop().time()
-        if now - self._counted_at >= COUNT_SECONDS:
-            self._counted_at = now
+        if now - self._heard_fraction_at >= HEARD_FRACTION_CACHE_SECONDS:
+            self._heard_fraction_at = now
             n_heard = sum(self.is_heard(ip) for ip in self._peers)
-            self._heard_part = (1 + n_heard) / self.n_hosts()
-        return self._heard_part
+            self._heard_fraction = (1 + n_heard) / self.n_hosts()
+        return self._heard_fraction
 
     def n_hosts(self) -> int:
         """Return the number of hosts that registered, this one included."""
         return 1 + len(self._peers)
 
-    def silent_seconds(self, ip: str) -> float:
+    def seconds_since_heard(self, ip: str) -> float:
         """Return for how long a host hasn't been heard.
 
         One that never was counts from the first question about it.
@@ -192,10 +194,12 @@
         now = asyncio.get_running_loop().time()
         heard_at = self._heard_at.get(ip)
         if heard_at is None:
-            heard_at = self._missed_at.setdefault(ip, now)
+            heard_at = self._first_missed_at.setdefault(ip, now)
         return now - heard_at
 
-    def is_alone(self, seconds: float = ZONE_HEARD_SECONDS) -> bool:
+    def is_partitioned(
+        self, zone_timeout_seconds: float = ZONE_TIMEOUT_SECONDS
+    ) -> bool:
         """Whether all hosts of other zones, or all hosts at all, have fallen silent.
 
         Parameters
@@ -208,7 +212,7 @@
         if not zones:
             return bool(self._peers) and not self.alive()
         return not any(
-            now - self._zone_heard_at.get(zone, float("-inf")) < seconds
+            now - self._zone_heard_at.get(zone, float("-inf")) < zone_timeout_seconds
             for zone in zones
         )
 
@@ -216,7 +220,7 @@
         """Return a host by its address."""
         return self._peers.get(ip)
 
-    def may_have_been_away(self, seconds: float) -> bool:
+    def any_store_outage_within(self, seconds: float) -> bool:
         """Whether some host may have been without the store in the last seconds.
 
         One that isn't heard may be without it now.
@@ -224,13 +228,13 @@
         now = asyncio.get_running_loop().time()
         if len(self.alive()) < len(self._peers):
             return True
-        return any(now - at < seconds for at in self._away_at.values())
+        return any(now - at < seconds for at in self._last_store_outage_at.values())
 
-    def is_running(self, ip: str, boot: str) -> bool:
+    def is_same_process_heard(self, ip: str, boot: str) -> bool:
         """Whether a host's process is heard and the same as before."""
         return any(p.ip == ip and p.boot == boot for p in self.alive())
 
-    def elsewhere(self) -> list[Peer]:
+    def peers_other_zones_first(self) -> list[Peer]:
         """Return the hosts heard lately, one of each other zone first."""
         seen = {self.own.zone}
         first, rest = [], []
@@ -244,7 +248,7 @@
         lends = (p for p in self.alive() if slot in self._lending.get(p.ip, ()))
         return next(lends, None)
 
-    def in_own_zone(self) -> list[Peer]:
+    def own_zone_hosts(self) -> list[Peer]:
         """Return the hosts of the own zone that are heard, this one included.
 
         Those with the most processor time come first; all hosts that hear the same
@@ -252,25 +256,25 @@
         """
         zone = self.own.zone
         found = [self.own, *(p for p in self.alive() if p.zone == zone)]
-        return sorted(found, key=lambda p: (-p.cores, _spread(p.ip), p.ip))
+        return sorted(found, key=lambda p: (-p.cores, _ip_hash(p.ip), p.ip))
 
     def feeder(self) -> Peer | None:
         """Return the host that tells this one of changes of rows.
 
         None where this one asks the store itself.
         """
-        if len(self._peers) < FEED_HOSTS:
+        if len(self._peers) < MIN_PEERS_FOR_FEEDERS:
             return None
-        feeders = self.in_own_zone()[:N_FEEDERS]
+        feeders = self.own_zone_hosts()[:FEEDERS_PER_ZONE]
         if self.own in feeders:
             return None
-        return feeders[_spread(self.own.ip) % len(feeders)]
+        return feeders[_ip_hash(self.own.ip) % len(feeders)]
 
-    def with_store(self) -> list[Peer]:
+    def peers_reaching_store(self) -> list[Peer]:
         """Return the hosts heard lately that reach the store."""
         return [p for p in self.alive() if self._store_up.get(p.ip)]
 
-    def relays(self, homes: Homes = None) -> list[Peer]:
+    def relay_candidates(self, homes: Homes = None) -> list[Peer]:
         """Return the hosts to which the store has room for more calls.
 
         Parameters
@@ -280,13 +284,13 @@
         """
         return [
             peer
-            for peer in self.with_store()
+            for peer in self.peers_reaching_store()
             if not self._store_full.get(peer.ip)
             and self._regions.allows(peer.zone, homes)
         ]
 
 
-def _spread(ip):
+def _ip_hash(ip):
     return xxhash.xxh32_intdigest(ip.encode())
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_isolation.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_isolation.py
@@ -6,19 +6,19 @@
 from swifttide_daemon.gateway.store._relayed_store import RelayedStore
 from swifttide_daemon.telemetry import EventLog
 
-BALANCER_SECONDS = 2.1
+BALANCER_REMOVAL_SECONDS = 2.1
 """Time until the balancer has taken out a host that isn't ready: it asks each second
 and counts two misses."""
 
-DOUBT_SECONDS = 0.45
+STORE_PROBE_DELAY_SECONDS = 0.45
 """After two rounds without a beacon of another zone it is found out whether the store
 is there, while the rest of the silence passes."""
 
-MIN_ELSEWHERE_SECONDS = 0.15
+MIN_RETRY_SECONDS = 0.15
 """Shortest pause before a caller tries another host."""
 
 
-class Isolation:
+class IsolationDetector:
     """Notices that this host is cut off.
 
     Load pattern: a zone is cut off from the others and from the store, and callers
@@ -44,7 +44,7 @@
         self._since = 0.0
         self.active = False
 
-    def check(self) -> None:
+    def update(self) -> None:
         """Look again."""
         active = self._is_cut_off()
         if active == self.active:
@@ -54,7 +54,7 @@
         event = "isolated" if active else "isolation_ended"
         self._log.warning(event, peers=len(self._fleet.alive()))
 
-    def elsewhere_after(self) -> float | None:
+    def retry_elsewhere_seconds(self) -> float | None:
         """Return after how many seconds callers reach another host, None if no sooner.
 
         When the host knows that it is cut off, the balancer still sends callers here
@@ -63,10 +63,10 @@
         if not self.active:
             return None
         since = asyncio.get_running_loop().time() - self._since
-        return max(MIN_ELSEWHERE_SECONDS, BALANCER_SECONDS - since)
+        return max(MIN_RETRY_SECONDS, BALANCER_REMOVAL_SECONDS - since)
 
     def _is_cut_off(self):
-        if not self._fleet.is_alone(DOUBT_SECONDS):
+        if not self._fleet.is_partitioned(STORE_PROBE_DELAY_SECONDS):
             return False
         self._store.doubt()
-        return self._fleet.is_alone() and not self._store.is_reachable
+        return self._fleet.is_partitioned() and not self._store.is_reachable
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_keeper_choice.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_keeper_choice.py
@@ -6,7 +6,7 @@
 from swifttide_daemon.gateway.peers._elapsed_clock import elapsed_seconds
 from swifttide_daemon.gateway.peers._fleet import Fleet
 
-SUSPECT_SECONDS = 0.5
+KEEPER_SUSPECT_SECONDS = 0.5
 """A keeper that didn't answer is passed over for so long; one that has died is no
 longer heard after that."""
 
@@ -31,9 +31,9 @@
 
     def suspect(self, host: str) -> None:
         """Pass over a keeper that didn't answer."""
-        self._suspects[host] = elapsed_seconds() + SUSPECT_SECONDS
+        self._suspects[host] = elapsed_seconds() + KEEPER_SUSPECT_SECONDS
 
-    def is_first(self, name: str) -> bool:
+    def is_primary_keeper(self, name: str) -> bool:
         """Whether this host keeps what has this name, whomever it has passed over."""
         heard = [
             host
@@ -42,7 +42,7 @@
         ]
         return (keeper_order(name, tuple(heard)) or [self._own_ip])[0] == self._own_ip
 
-    def n_holders(self) -> int:
+    def n_candidates(self) -> int:
         """Return the number of hosts among which keepers are."""
         return len(self._holders())
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_client.py
@@ -12,7 +12,7 @@
     decode_answer,
     encode,
 )
-from swifttide_daemon.gateway.peers._peer_server import MAX_BODY_BYTES, PATH
+from swifttide_daemon.gateway.peers._peer_server import MAX_BODY_BYTES, PEER_CALL_PATH
 from swifttide_daemon.gateway.targets._connection_pool import ConnectionPool
 
 
@@ -44,7 +44,7 @@
         try:
             async with asyncio.timeout(seconds) as limit:
                 conn, _ = await self._pool.take(peer.ip, peer.port)
-                conn.send("POST", PATH, fields, body)
+                conn.send("POST", PEER_CALL_PATH, fields, body)
                 await conn.read_head()
                 raw = await conn.read_body(MAX_BODY_BYTES, limit)
                 answer = decode_answer(raw)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_messages.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_messages.py
@@ -167,7 +167,7 @@
     tx: Transaction
 
     @property
-    def place(self) -> tuple[str, str]:
+    def table_and_part(self) -> tuple[str, str]:
         """Table and part that it concerns."""
         keys = [*(p.key for p in self.tx.puts), *self.tx.removes]
         keys += [c.key for c in self.tx.conditions]
@@ -183,7 +183,7 @@
     end: str
 
     @property
-    def place(self) -> tuple[str, str]:
+    def table_and_part(self) -> tuple[str, str]:
         """Table and part that it concerns."""
         return self.table, self.part
 
@@ -196,7 +196,7 @@
     wait_seconds: float
 
     @property
-    def place(self) -> tuple[str, str]:
+    def table_and_part(self) -> tuple[str, str]:
         """Table and part that it concerns."""
         return self.table, ""
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_server.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_server.py
@@ -15,9 +15,9 @@
 )
 from swifttide_daemon.telemetry import EventLog
 
-PATH = "/peer"
-READ_BYTES = 65_536
-IDLE_SECONDS = 30.0
+PEER_CALL_PATH = "/peer"
+READ_CHUNK_BYTES = 65_536
+IDLE_TIMEOUT_SECONDS = 30.0
 MAX_BODY_BYTES = 4_194_304
 
 
@@ -93,5 +93,5 @@
                 case h11.Request():
                     continue
                 case _:
-                    async with asyncio.timeout(IDLE_SECONDS):
-                        http.receive_data(await reader.read(READ_BYTES))
+                    async with asyncio.timeout(IDLE_TIMEOUT_SECONDS):
+                        http.receive_data(await reader.read(READ_CHUNK_BYTES))
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_service.py
@@ -34,31 +34,31 @@
 from swifttide_daemon.gateway.turns._turn_keeper import TurnKeeper
 from swifttide_daemon.telemetry import EventLog
 
-MAX_COPIES = 3
+MAX_PEERS_ASKED = 3
 """Hosts that are asked for what they know; the newest copy is taken."""
 
-COPY_SECONDS = 0.3
+READ_COPY_TIMEOUT_SECONDS = 0.3
 """Time for a copy of a table."""
 
 
-TAKE_SECONDS = 0.1
+TAKE_TOKENS_TIMEOUT_SECONDS = 0.1
 """Time for another host to hand tokens over from memory: some twenty times what a call
 takes, a part of what a turn's caller bears."""
 
-MAX_MOVES = 4
+MAX_TOKEN_REDIRECTS = 4
 """Hosts in a row that are asked where a program's tokens have gone."""
 
-ASK_SECONDS = 0.3
+ASK_TOKENS_TIMEOUT_SECONDS = 0.3
 """Time for the lender of a program's slot, which asks other hosts first."""
 
-RELEASE_SECONDS = 0.5
+RELEASE_TIMEOUT_SECONDS = 0.5
 """Time for the owner of a slot, which writes a row first: 13 ms while the store is
 well."""
 
-SILENT_SECONDS = 2.0
+OWNER_LOST_SECONDS = 2.0
 """An owner that wasn't heard for so long may not come back: ten beacons."""
 
-HAND_SECONDS = 0.5
+HAND_SLOTS_TIMEOUT_SECONDS = 0.5
 """Time for another host to take slots over."""
 
 
@@ -144,8 +144,11 @@
 
     async def find_copy(self, table: str) -> Rows | None:
         """Return the newest of what some other hosts know of a table."""
-        peers = self._fleet.alive()[:MAX_COPIES]
-        calls = [self._peers.call(p, ReadCopy(table), COPY_SECONDS) for p in peers]
+        peers = self._fleet.alive()[:MAX_PEERS_ASKED]
+        calls = [
+            self._peers.call(p, ReadCopy(table), READ_COPY_TIMEOUT_SECONDS)
+            for p in peers
+        ]
         answers = await asyncio.gather(*calls)
         copies = [
             found
@@ -165,7 +168,7 @@
         if peer is None:
             self._log.info("no_lender", program=ask.program, slot=slot)
             return 0
-        match await self._peers.call(peer, ask, ASK_SECONDS):
+        match await self._peers.call(peer, ask, ASK_TOKENS_TIMEOUT_SECONDS):
             case HandedTokens(tokens):
                 return max(0, tokens)
         return 0
@@ -181,10 +184,10 @@
         peer = self._fleet.by_ip(ip)
         if peer is not None:
             ask = AskRelease(program, budget)
-            match await self._peers.call(peer, ask, RELEASE_SECONDS):
+            match await self._peers.call(peer, ask, RELEASE_TIMEOUT_SECONDS):
                 case Released(verdict):
                     return verdict
-        if self._fleet.silent_seconds(ip) >= SILENT_SECONDS:
+        if self._fleet.seconds_since_heard(ip) >= OWNER_LOST_SECONDS:
             return ReleaseVerdict.DOUBTFUL
         return ReleaseVerdict.LATER
 
@@ -199,7 +202,7 @@
         wanted = {p.ip for p in self._fleet.alive()} | {self._fleet.own.ip}
         wanted = wanted if ips is None else set(ips)
         found = 0
-        for _ in range(MAX_MOVES):
+        for _ in range(MAX_TOKEN_REDIRECTS):
             wanted -= asked
             if not wanted:
                 break
@@ -215,7 +218,7 @@
         found = [self._budgets().withdraw(program, asker)] if own in ips else []
         request = TakeTokens(program, asker)
         calls = [
-            self._peers.call(p, request, TAKE_SECONDS)
+            self._peers.call(p, request, TAKE_TOKENS_TIMEOUT_SECONDS)
             for p in self._fleet.alive()
             if p.ip in ips
         ]
@@ -228,8 +231,8 @@
         A host that doesn't answer may lend from now on: to ask another one then could
         have two lend to the same program.
         """
-        for peer in self._fleet.alive()[:MAX_COPIES]:
-            match await self._peers.call(peer, handed, HAND_SECONDS):
+        for peer in self._fleet.alive()[:MAX_PEERS_ASKED]:
+            match await self._peers.call(peer, handed, HAND_SLOTS_TIMEOUT_SECONDS):
                 case Done(ok=False):
                     continue
                 case answer:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_share_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_share_keeper.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from swifttide_core.budgets import plan_slots
-from swifttide_daemon.gateway.peers._fleet import TABLE, Fleet
+from swifttide_daemon.gateway.peers._fleet import FLEET_TABLE, Fleet
 from swifttide_daemon.gateway.rates._rate_keeper import RateKeeper
 from swifttide_daemon.gateway.store._shared_store import (
     Applied,
@@ -178,7 +178,7 @@
 
     async def _read(self):
         while True:
-            match await self._store.read(TABLE, "", KEY, KEY + "\0"):
+            match await self._store.read(FLEET_TABLE, "", KEY, KEY + "\0"):
                 case Rows(rows, _, now_ms):
                     self._set_clock(now_ms)
                     for row in rows:
@@ -253,7 +253,7 @@
         own = present.get(self._ip)
         if own is not None and own.share > 0.0:
             return n_free > 0
-        others = (p.ip for p in self._fleet.in_own_zone() if p.ip not in holders)
+        others = (p.ip for p in self._fleet.own_zone_hosts() if p.ip not in holders)
         return self._ip in itertools.islice(others, max(0, n_free))
 
     def _is_any_short(self, present, fair) -> bool:
@@ -290,7 +290,7 @@
         return found
 
     async def _write(self, entries) -> bool:
-        place = RowKey(TABLE, "", KEY)
+        place = RowKey(FLEET_TABLE, "", KEY)
         tx = Transaction(
             conditions=(Condition(place, self._version),),
             puts=(Put(place, msgspec.json.encode(entries)),),
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_relayed_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_relayed_store.py
@@ -181,7 +181,7 @@
     @property
     def is_reachable(self) -> bool:
         """Whether this host or one that it hears reaches the store."""
-        return self.direct_up or bool(self._fleet.with_store())
+        return self.direct_up or bool(self._fleet.peers_reaching_store())
 
     def reconnect(self) -> None:
         """Make the next calls on new connections.
@@ -265,7 +265,7 @@
         direct = [call, call] if self.direct_up else []
         relays = [
             functools.partial(self._ask_peer, peer, relayed)
-            for peer in self._fleet.relays(homes)[:MAX_PEERS]
+            for peer in self._fleet.relay_candidates(homes)[:MAX_PEERS]
         ]
         if self.is_full:
             # It may turn only some hosts away.
@@ -274,7 +274,7 @@
 
     def _note_full(self, relayed):
         if not self.is_full:
-            table, part = relayed.place
+            table, part = relayed.table_and_part
             self._log.warning(
                 "store_full", call=type(relayed).__name__, table=table, part=part
             )
@@ -287,7 +287,7 @@
         return Unavailable("no answer from a peer", True)
 
     async def _relay(self, relayed, seconds, outcome, homes):
-        for peer in self._fleet.relays(homes)[:MAX_PEERS]:
+        for peer in self._fleet.relay_candidates(homes)[:MAX_PEERS]:
             match await self._peers.call(peer, relayed, seconds):
                 case StoreOutcome() as answer:
                     found = answer.unwrap()
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_row_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_row_feed.py
@@ -1,7 +1,7 @@
 """Turning rows of targets and hosts into beliefs."""
 
 from swifttide_daemon.gateway._beliefs import Beliefs
-from swifttide_daemon.gateway.peers._fleet import HOST_PREFIX, Fleet
+from swifttide_daemon.gateway.peers._fleet import HOST_KEY_PREFIX, Fleet
 from swifttide_daemon.gateway.rates._share_keeper import KEY as SHARES_KEY
 from swifttide_daemon.gateway.rates._share_keeper import ShareKeeper
 from swifttide_daemon.gateway.store._decoders import Decoders
@@ -76,14 +76,14 @@
 
     def take_all_hosts(self, rows: RowsTuple) -> None:
         """Take all rows of the fleet's table."""
-        hosts = tuple(r for r in rows if r.key.key.startswith(HOST_PREFIX))
+        hosts = tuple(r for r in rows if r.key.key.startswith(HOST_KEY_PREFIX))
         self._fleet.take_all(hosts)
         self.take_changed_hosts(rows)
 
     def take_changed_hosts(self, rows: RowsTuple) -> int:
         """Take rows of the fleet's table; return the version of the newest."""
         for row in rows:
-            if row.key.key.startswith(HOST_PREFIX):
+            if row.key.key.startswith(HOST_KEY_PREFIX):
                 self._fleet.take_row(row)
             elif row.key.key == SHARES_KEY:
                 self._shares.take_row(row)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_table_feeds.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_table_feeds.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from swifttide_daemon.gateway.peers._fleet import TABLE as FLEET_TABLE
+from swifttide_daemon.gateway.peers._fleet import FLEET_TABLE
 from swifttide_daemon.gateway.store._decoders import Decoders
 from swifttide_daemon.gateway.store._operator_feed import OperatorFeed
 from swifttide_daemon.gateway.store._passed_feed import PassedFeed
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_order_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_order_keeper.py
@@ -299,7 +299,7 @@
         return answer
 
     def _limits(self, service, targets, standing) -> dict[str, float] | None:
-        heard_part = self._fleet.heard_part()
+        heard_part = self._fleet.heard_fraction()
         return self._beliefs.cold.keeper_limits(service, targets, standing, heard_part)
 
     def _standing(self, service) -> KeeperStanding:
@@ -307,12 +307,12 @@
         now = elapsed_seconds()
         span = self._spans.setdefault(service, _KeptSpan(now, now))
         name = _order_name(service)
-        is_first = self._choice.is_first(name)
+        is_first = self._choice.is_primary_keeper(name)
         if not is_first or now - span.asked_at > IDLE_SECONDS:
             span.since = now
         span.asked_at = now
         if not is_first:
-            return KeeperStanding.standin(self._choice.n_holders())
+            return KeeperStanding.standin(self._choice.n_candidates())
         if now - span.since < SETTLE_SECONDS:
             return KeeperStanding.new()
         return KeeperStanding.settled()
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_hosts.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_hosts.py
@@ -7,7 +7,7 @@
 from swifttide_daemon.gateway.peers._peer_service import PeerService
 
 
-class Calls:
+class InProcessPeerClient:
     """Carries calls to the hosts that `reached` returns, by IP.
 
     Answers are lost where ``is_lost`` says so: what the host did stands.
@@ -26,7 +26,7 @@
         return None if self._is_lost() else answer
 
 
-def peer_service(ip, calls, reached, budgets, lender, owner_of, log):
+def make_peer_service(ip, calls, reached, budgets, lender, owner_of, log):
     """Return a host's peer service; it hears the hosts that ``reached`` returns."""
     fleet = Fleet(Peer(ip, 1, "zone-a", ip + "-boot"), log)
     fleet.alive = lambda: [Peer(i, 1, "zone-a", "") for i in reached() if i != ip]
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_lending_fleet.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_lending_fleet.py
@@ -13,7 +13,7 @@
 from swifttide_daemon.gateway.rates._share_keeper import KEY, ShareKeeper
 from swifttide_daemon.gateway.store._row_reaper import RowReaper
 from swifttide_daemon.gateway.store._shared_store import RowKey, StoredRow, Unavailable
-from swifttide_daemon.gateway.tests._hosts import Calls, peer_service
+from swifttide_daemon.gateway.tests._hosts import InProcessPeerClient, make_peer_service
 from swifttide_standins.paused_clock import run_paused
 
 MOST = 30
@@ -70,9 +70,9 @@
         self.shares = ShareKeeper(
             self.store, own, Rates(), log, self.record.may_give_up
         )
-        self.peers, self.view = peer_service(
+        self.peers, self.view = make_peer_service(
             ip,
-            Calls(self.reached, fleet.is_lost),
+            InProcessPeerClient(self.reached, fleet.is_lost),
             self.reached,
             lambda: self.budgets,
             lambda: self.lender,
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload.py
@@ -135,7 +135,7 @@
     def is_heard(self, ip: str) -> bool:
         return ip in self._wires.ips_heard()
 
-    def heard_part(self) -> float:
+    def heard_fraction(self) -> float:
         return 1.0
 
     def n_hosts(self) -> int:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_rate_hosts.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_rate_hosts.py
@@ -62,7 +62,7 @@
         fleet = Fleet(own, self.log)
         for peer in self.peers:
             if peer.ip != own.ip:
-                fleet.heard(peer, True)
+                fleet.record_beacon(peer, True)
         fleet.is_heard = lambda ip: not {own.ip, ip} & self.away
         keeper = RateKeeper(fleet, self.holders, self.sender(own), self.log, self.extra)
         holds = own.ip in self.holders()
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_beacon_rounds.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_beacon_rounds.py
@@ -5,8 +5,8 @@
 import pytest
 
 from swifttide_daemon.gateway.peers._beacon_rounds import (
-    OTHER_ZONE_PEERS,
-    OWN_ZONE_PEERS,
+    OTHER_ZONE_PEERS_PER_ROUND,
+    OWN_ZONE_PEERS_PER_ROUND,
     beacon_groups,
 )
 from swifttide_daemon.gateway.peers._fleet import Fleet
@@ -32,7 +32,9 @@
         for number in range(60):
             groups = beacon_groups(peers(n_hosts), "zone-0", number, False)
             at_once = sum(len(g.peers) for g in groups)
-            assert at_once <= 1.6 * (OWN_ZONE_PEERS + OTHER_ZONE_PEERS)
+            assert at_once <= 1.6 * (
+                OWN_ZONE_PEERS_PER_ROUND + OTHER_ZONE_PEERS_PER_ROUND
+            )
             for group in groups:
                 n_turns = round(group.pause_seconds / 0.2)
                 for peer in group.peers:
@@ -54,9 +56,9 @@
         async def main():
             fleet = Fleet(Peer("10.0.0.0", 1, "zone-0", "b"), log)
             for peer in peers(6)[1:]:
-                fleet.heard(peer, True, pause_seconds=0.6)
+                fleet.record_beacon(peer, True, pause_seconds=0.6)
             await asyncio.sleep(0.8)
-            is_alone, n_alive = fleet.is_alone(), len(fleet.alive())
+            is_alone, n_alive = fleet.is_partitioned(), len(fleet.alive())
             await asyncio.sleep(1.4)
             return is_alone, n_alive, len(fleet.alive())
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_budget_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_budget_keeper.py
@@ -9,7 +9,7 @@
 from swifttide_daemon.gateway.budgets._budget_keeper import BudgetKeeper
 from swifttide_daemon.gateway.callers._refusal import Refusal
 from swifttide_daemon.gateway.store._row_reaper import RowReaper
-from swifttide_daemon.gateway.tests._hosts import Calls, peer_service
+from swifttide_daemon.gateway.tests._hosts import InProcessPeerClient, make_peer_service
 from swifttide_standins.paused_clock import run_paused
 
 MOST = 30
@@ -28,9 +28,9 @@
     def start(self, ip):
         """Start a host's keeper; one that ran there is gone with its memory."""
         reached = lambda: self.services  # noqa: E731
-        service, _ = peer_service(
+        service, _ = make_peer_service(
             ip,
-            Calls(reached),
+            InProcessPeerClient(reached),
             reached,
             lambda: self.keepers[ip],
             lambda: None,
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_passed_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_passed_feed.py
@@ -4,7 +4,11 @@
 
 import pytest
 
-from swifttide_daemon.gateway.peers._fleet import FEED_HOSTS, N_FEEDERS, Fleet
+from swifttide_daemon.gateway.peers._fleet import (
+    FEEDERS_PER_ZONE,
+    MIN_PEERS_FOR_FEEDERS,
+    Fleet,
+)
 from swifttide_daemon.gateway.peers._peer import Peer
 from swifttide_daemon.gateway.peers._peer_messages import FollowTable, StoreOutcome
 from swifttide_daemon.gateway.store._passed_feed import PassedFeed
@@ -37,7 +41,7 @@
         fleet = self.fleets[own.ip] = Fleet(own, log)
         for peer in self.peers:
             if peer is not own:
-                fleet.heard(peer, True, pause_seconds=1000.0)
+                fleet.record_beacon(peer, True, pause_seconds=1000.0)
         seen = self.seen[own.ip] = {}
 
         def take(rows):
@@ -95,14 +99,14 @@
                 await asyncio.sleep(0.5)
             return store.n_calls - before
 
-        n_feeders = 2 * N_FEEDERS
+        n_feeders = 2 * FEEDERS_PER_ZONE
         assert play(scenario) <= 20.0 / 0.8 * n_feeders * 1.2
 
     def test_small_fleet_asks_the_store(self, play):
         async def scenario(hosts):
             return [fleet.feeder() for fleet in hosts.fleets.values()]
 
-        assert play(scenario, FEED_HOSTS) == [None] * FEED_HOSTS
+        assert play(scenario, MIN_PEERS_FOR_FEEDERS) == [None] * MIN_PEERS_FOR_FEEDERS
 
     def test_news_reach_all_hosts_soon(self, play, store):
         async def scenario(hosts):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_relayed_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_relayed_store.py
@@ -76,8 +76,10 @@
 
 def relayed(direct, store, log, helped=True, has_room=True):
     fleet = Fleet(Peer("10.0.0.1", 1, "zone-a", "b1"), log)
-    fleet.with_store = lambda: [HELPER] if helped else []
-    fleet.relays = lambda homes=None: fleet.with_store() if has_room else []
+    fleet.peers_reaching_store = lambda: [HELPER] if helped else []
+    fleet.relay_candidates = lambda homes=None: (
+        fleet.peers_reaching_store() if has_room else []
+    )
     peers = Peers(store)
     return RelayedStore(direct, fleet, peers, GatewayMetrics("h", "z"), log), peers
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_turn_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_turn_keeper.py
@@ -74,7 +74,7 @@
             for other in fleet.hosts.values():
                 if other is not self and other.cut == self.cut:
                     away = self.turns.memory.away_seconds()
-                    other.fleet.heard(self.peer, not self._store.down, away)
+                    other.fleet.record_beacon(self.peer, not self._store.down, away)
             await asyncio.sleep(0.2)
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_turn_memory.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_turn_memory.py
@@ -119,7 +119,7 @@
         away = self.away_seconds()
         if away is not None and away < keep_seconds:
             return True
-        return self._fleet.may_have_been_away(keep_seconds)
+        return self._fleet.any_store_outage_within(keep_seconds)
 
     def away_seconds(self) -> float | None:
         """Return since when this host has had the store, None if ever since."""
@@ -152,7 +152,7 @@
             return False
         own = self._fleet.own
         copy = KeepCopy(key, transcript, seconds, own.ip, own.boot)
-        if self._fleet.is_alone() or not self.keep_copy(copy):
+        if self._fleet.is_partitioned() or not self.keep_copy(copy):
             return False
         n_wanted = min(self._n_copies, max(1, len(self._fleet.all())))
         n_kept = await self._place(copy, n_wanted)
@@ -162,7 +162,7 @@
     async def _place(self, copy, n_wanted) -> int:
         """Give copies to hosts until enough have taken one; return how many have."""
         n_kept = 0
-        peers = self._fleet.elsewhere()
+        peers = self._fleet.peers_other_zones_first()
         while peers and n_kept < n_wanted:
             n_missing = n_wanted - n_kept
             asked, peers = peers[:n_missing], peers[n_missing:]
@@ -242,7 +242,9 @@
             return True
         if now - self._back_at < ORPHAN_SECONDS:
             return False
-        return not self._fleet.is_running(waiting.origin, waiting.origin_boot)
+        return not self._fleet.is_same_process_heard(
+            waiting.origin, waiting.origin_boot
+        )
 
     async def _store_waiting(self, key) -> bool:
         waiting = self._waiting.get(key)
