--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The other hosts: which there are, what they tell and what they do for each other."""
+"""Communication between hosts: membership, periodic state beacons and calls."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon.py
@@ -1,4 +1,4 @@
-"""What each host tells all others several times a second."""
+"""Beacon message: the state that each host sends to the others at short intervals."""
 
 import msgspec
 
@@ -6,39 +6,46 @@
 
 
 class Beacon(msgspec.Struct, array_like=True, tag="beacon"):
-    """One host's news; a list on the wire, as names would be half of its bytes.
+    """State of one host, sent periodically to other hosts.
+
+    The message is encoded as an array, because field names would make up half of its
+    bytes.
 
     Parameters
     ----------
     ip : str
-        Of the sender.
+        IP address of the sender.
     port : int
-        For calls and beacons from other hosts.
+        Port on which the sender accepts calls and beacons from other hosts.
     zone : str
-        Of the sender.
+        Availability zone of the sender.
     boot : str
-        Drawn anew at each start of its process.
+        Random identifier of the sender's process, new at each process start.
     number : int
-        Grows with each beacon of a boot; an older one that comes late is dropped.
+        Sequence number, which increases with each beacon of the same process. The
+        receiver drops a beacon that arrives after a newer one.
     store_up : bool
-        Whether it reaches the store.
+        Whether the sender reaches the store directly.
     store_full : bool
-        Whether the store has turned its calls away lately as too many.
+        Whether the store has recently throttled calls of the sender.
     away_seconds : float or None
-        Since it was last without the store, or may have been; None if it never was.
+        Time since the sender was last disconnected from the store, or may have been.
+        None if it never was.
     config_change, target_change : int
-        Newest changes of configuration and targets that it knows, as versions of
-        the store.
+        Store versions of the newest changes of configuration and targets that the
+        sender knows.
     outstanding : dict of str to int
-        Its requests under way, by target.
+        Number of the sender's requests in flight, by target.
     strikes : list of (str, str, str)
-        Fingerprint, target and incarnation of crashes it saw lately.
+        Request fingerprint, target and target incarnation of the crashes that the
+        sender has recently observed.
     lending : list of int
-        Slots of programs for which it lends tokens; none while the store is there.
+        Hash slots of programs for which the sender lends tokens. Empty while the store
+        is available.
     pause_seconds : float
-        Until the receiver gets the next beacon.
+        Time until the receiver gets the next beacon.
     cores : float
-        Processor time that the sender has in a second, in seconds.
+        Processor time available to the sender, in CPU seconds per second.
     """
 
     ip: str
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_exchange.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_exchange.py
@@ -1,4 +1,4 @@
-"""What a host tells the others in its beacons, and what it takes from theirs."""
+"""Composes this host's beacons and distributes the contents of received beacons."""
 
 from swifttide_daemon.gateway.budgets._token_lender import TokenLender
 from swifttide_daemon.gateway.peers._beacon import Beacon
@@ -11,11 +11,14 @@
 from swifttide_daemon.gateway.turns._turn_memory import TurnMemory
 
 MAX_STRIKES_PER_BEACON = 8
-"""Crashes told in one beacon: some 100 bytes each, in a datagram of one packet."""
+"""Upper limit of crash reports in one beacon. Each takes about 100 bytes, and the
+datagram has to fit into one packet."""
 
 
 class BeaconExchange:
-    """Composes beacons and hands the parts of others' beacons on.
+    """Collects the contents of beacons from this host's components, and vice versa.
+
+    Received beacons are passed on to the components that use their parts.
 
     Parameters
     ----------
@@ -58,9 +61,9 @@
         Parameters
         ----------
         number : int
-            Grows with each round of beacons.
+            Sequence number of the beacon round.
         pause_seconds : float
-            Until those that get it get the next one.
+            Time until the recipients of this beacon get the next one.
         """
         own = self._own
         return Beacon(
@@ -82,7 +85,10 @@
         )
 
     def handle_beacon(self, beacon: Beacon) -> None:
-        """Take another host's beacon; whether it is heard, the fleet notes itself."""
+        """Pass the parts of another host's beacon on to the components.
+
+        The fleet's record of heard hosts is updated by the receiver of the datagram.
+        """
         self._health.told(beacon.ip, beacon.outstanding, beacon.pause_seconds)
         self._order.told(beacon.ip, beacon.outstanding)
         self._strikes.take(beacon.strikes)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_rounds.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_rounds.py
@@ -1,14 +1,15 @@
-"""Which hosts get a beacon in a round.
-
-Load pattern: hundreds of hosts, each of which tells all others several times a second
-what it sees.
-
-Without it: messages grow with the square of the hosts. With 69 hosts each took 340
-beacons a second, most of the bytes between zones and a part of its processor time.
-
-Grounds: a host sends to so many others at most in each round, to each in turn. Within a
-zone news are worth more: requests go there first. Hosts that hold shares of customers'
-rates tell all others each time, so that their loss is noticed soon.
+"""Selects the hosts that receive a beacon in each sending round.
+
+Each host sends its state to the other hosts several times a second, in a fleet of
+hundreds of hosts. If every host sent to all others in every round, the number of
+messages would grow with the square of the number of hosts. With 69 hosts, each received
+340 beacons per second, which took most of the bytes between zones and a part of its
+processor time.
+
+The number of recipients per round is therefore bounded, and the recipients rotate from
+round to round. The bound is higher within the own zone: requests are routed there
+first, so fresh state is worth more. Hosts that hold shares of the customers' rate
+limits send to all others in every round, so that their loss is detected quickly.
 """
 
 from collections.abc import Iterable
@@ -19,23 +20,25 @@
 from swifttide_daemon.gateway.peers._peer import Peer
 
 BEACON_INTERVAL_SECONDS = 0.2
-"""Between rounds; a fifth of a turn's usual time, so counts are fresh enough."""
+"""Mean time between beacon rounds. It is a fifth of the usual duration of a turn (one
+model request), so the request counts in beacons are fresh enough."""
 
 OWN_ZONE_PEERS_PER_ROUND = 24
 OTHER_ZONE_PEERS_PER_ROUND = 16
-"""Hosts that get a beacon in one round; with fewer of them, each gets one each time."""
+"""Approximate numbers of hosts that get a beacon in one round, in the own zone and in
+all other zones together. If there are fewer hosts, each gets one in every round."""
 
 
 @dataclass(frozen=True, slots=True)
 class BeaconGroup:
-    """Hosts that are told at the same intervals.
+    """Recipients of a round that get beacons at the same interval.
 
     Parameters
     ----------
     peers : tuple of Peer
-        Those that get a beacon in this round.
+        Hosts that get a beacon in this round.
     pause_seconds : float
-        Until each of them gets the next one.
+        Time until each of them gets the next beacon.
     """
 
     peers: tuple[Peer, ...]
@@ -45,17 +48,17 @@
 def beacon_groups(
     peers: Iterable[Peer], zone: str, number: int, sends_to_all: bool
 ) -> list[BeaconGroup]:
-    """Return who gets a beacon in a round.
+    """Return the recipients of a round, grouped by sending interval.
 
     Parameters
     ----------
     peers : iterable of Peer
     zone : str
-        Of this host.
+        Availability zone of this host.
     number : int
-        Of the round.
-    tells_all : bool
-        Whether all hosts get each beacon.
+        Sequence number of the round.
+    sends_to_all : bool
+        Whether all hosts get a beacon in every round.
     """
     peers = list(peers)
     if sends_to_all:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_datagrams.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_datagrams.py
@@ -1,7 +1,7 @@
-"""Short messages between hosts.
+"""Sends and receives short messages between hosts as UDP datagrams with JSON.
 
-Datagrams of JSON: a lost one is followed by the next, and a stalled connection would
-hold back all that come after it.
+Datagrams are used because a lost beacon is soon followed by the next one, whereas a
+stalled connection would delay all messages after the lost one.
 """
 
 import asyncio
@@ -33,12 +33,26 @@
 
 
 class PeerDatagrams(asyncio.DatagramProtocol):
-    """Sends this host's beacon and carries other short messages.
+    """UDP endpoint that sends beacons and carries other short messages.
+
+    The owner sets the callbacks before it calls `run`.
 
     Parameters
     ----------
     fleet : Fleet
     log : EventLog
+
+    Attributes
+    ----------
+    compose_beacon : callable
+        Takes the number of the round and the seconds until the next beacon to the
+        same recipients; returns the beacon.
+    sends_to_all : callable
+        Returns whether all hosts get a beacon in every round.
+    on_beacon : callable
+        Takes each beacon that is not outdated.
+    on_rate_message, on_order_message : callable
+        Take a message and the IP address of its sender.
     """
 
     def __init__(self, fleet: Fleet, log: EventLog):
@@ -57,7 +71,7 @@
         )
 
     async def listen(self, ip: str, port: int) -> None:
-        """Open the port."""
+        """Open the UDP socket."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(ip, port)
@@ -83,14 +97,17 @@
                 self._transport.sendto(message, (peer.ip, peer.port))
 
     def send(self, ip: str, message: RateMessage | OrderMessage) -> None:
-        """Send a message to a host; it may be lost."""
+        """Send a message to a host without acknowledgement; it may be lost.
+
+        A message to an unknown IP address is dropped.
+        """
         peer = self._fleet.by_ip(ip)
         if peer is not None:
             data = msgspec.json.encode(message)
             self._transport.sendto(data, (peer.ip, peer.port))
 
     def datagram_received(self, data: bytes, addr) -> None:
-        """Take a datagram."""
+        """Decode a datagram and pass it to the callback for its type."""
         try:
             message = _decoder.decode(data)
         except (msgspec.DecodeError, msgspec.ValidationError):
@@ -105,7 +122,7 @@
                 self.on_rate_message(message, addr[0])
 
     def error_received(self, exc: OSError) -> None:
-        """Ignore that a peer's port is closed: its silence says as much."""
+        """Ignore errors such as a closed port: missing beacons reveal a lost peer."""
 
     def _handle_beacon(self, beacon):
         boot, number = self._newest_beacons.get(beacon.ip, ("", 0))
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_fleet.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_fleet.py
@@ -1,4 +1,7 @@
-"""The other hosts, and which of them are heard."""
+"""Fleet membership: the registered hosts, and which of them send beacons.
+
+A host is called *heard* while its beacons arrive within the expected interval.
+"""
 
 import asyncio
 import random
@@ -23,36 +26,41 @@
 HOST_KEY_PREFIX = "host/"
 
 PEER_TIMEOUT_INTERVALS = 3.5
-"""A host of which three beacons in a row are missing counts as out of reach."""
+"""Beacon intervals without a beacon after which a host counts as lost: three beacons
+in a row are then missing."""
 
 ZONE_TIMEOUT_SECONDS = 0.7
-"""A zone counts as out of reach when none of its hosts was heard for so long. Each
-round brings beacons of some of them, in a fleet of any size."""
+"""Time without a beacon from any host of a zone after which the zone counts as
+unreachable. In a fleet of any size, each round brings beacons from some of its
+hosts."""
 
 HEARD_FRACTION_CACHE_SECONDS = 0.2
-"""Between counts of the hosts that are heard: a beacon's pause."""
+"""Time for which the fraction of heard hosts is cached: one beacon interval."""
 
 MIN_PEERS_FOR_FEEDERS = 24
-"""Other hosts from which on some ask the store for the others."""
+"""Number of other hosts from which on only some hosts poll the store for changes, and
+the remaining hosts get the changes from those."""
 
 FEEDERS_PER_ZONE = 2
-"""Hosts in each zone that ask the store themselves: one may be lost."""
+"""Hosts per zone that poll the store themselves. Two, so that one may be lost."""
 
 REGISTER_RETRY_SECONDS = 0.3
 
 
 class Fleet:
-    """Hosts that registered in the store, and when each was last heard.
+    """Hosts that registered in the store, and when each last sent a beacon.
 
-    Being wrong here costs service, never a promise: what must not be wrong is decided
-    by rows under a condition.
+    This view may be wrong or outdated. An error costs availability but never
+    correctness, because decisions that must be right use conditional writes to rows of
+    the store.
 
     Parameters
     ----------
     own : Peer
+        This host.
     log : EventLog
     regions : RegionMap
-        In which region each zone lies.
+        Maps availability zones to regions.
     """
 
     def __init__(self, own: Peer, log: EventLog, regions: RegionMap | None = None):
@@ -73,7 +81,7 @@
         self._heard_fraction_at = float("-inf")
 
     async def register(self, store: SharedStore) -> None:
-        """Write this host's row, however long it takes."""
+        """Write this host's row to the store; retry until the write succeeds."""
         value = msgspec.json.encode(msgspec.structs.asdict(_HostRow.of(self.own)))
         key = RowKey(FLEET_TABLE, "", HOST_KEY_PREFIX + self.own.ip)
         tx = Transaction(puts=(Put(key, value),))
@@ -81,12 +89,12 @@
             await asyncio.sleep(REGISTER_RETRY_SECONDS)
 
     async def leave(self, store: SharedStore) -> None:
-        """Remove this host's row."""
+        """Remove this host's row from the store."""
         key = RowKey(FLEET_TABLE, "", HOST_KEY_PREFIX + self.own.ip)
         await store.commit(Transaction(removes=(key,)))
 
     def take_row(self, row: StoredRow) -> None:
-        """Take a row of the fleet's table."""
+        """Apply one row of the fleet table; a deleted row removes its host."""
         ip = row.key.key.removeprefix(HOST_KEY_PREFIX)
         if ip == self.own.ip:
             return
@@ -97,7 +105,7 @@
             self._peers.pop(ip, None)
 
     def take_all(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take all rows; hosts that aren't among them have left."""
+        """Apply a full read of the fleet table; remove hosts without a row."""
         ips = {r.key.key.removeprefix(HOST_KEY_PREFIX) for r in rows}
         for ip in set(self._peers) - ips:
             del self._peers[ip]
@@ -113,26 +121,28 @@
         lending: frozenset[int] = frozenset(),
         pause_seconds: float = BEACON_INTERVAL_SECONDS,
     ) -> None:
-        """Note a sign of life.
+        """Record that a beacon of a host has arrived.
 
         Parameters
         ----------
         peer : Peer
-            A host that starts while the store is away finds the others by this.
+            Sender. It is added if it is not known yet, so that a host that starts
+            during a store outage discovers the others by their beacons.
         store_up : bool
             Whether the peer reaches the store.
         away_seconds : float or None
-            Since it was last without the store; None if it never was.
+            Time since the peer was last disconnected from the store; None if it never
+            was.
         store_full : bool
-            Whether the store turns its calls away as too many.
+            Whether the store throttles calls of the peer.
         lending : frozenset of int
-            Slots of programs for which it lends tokens now.
+            Hash slots of programs for which the peer currently lends tokens.
         pause_seconds : float
-            Until it tells again.
+            Time until the next beacon of the peer is due.
         """
         ip = peer.ip
         if ip not in self._peers or self._peers[ip].boot != peer.boot:
-            # Its row may be older, or can't be read now.
+            # The peer's row may be outdated, or the store may be unavailable.
             self._peers[ip] = peer
         now = asyncio.get_running_loop().time()
         self._heard_at[ip] = self._zone_heard_at[peer.zone] = now
@@ -149,7 +159,7 @@
             self._log.info("peer_regained", peer=ip)
 
     def log_lost_peers(self) -> None:
-        """Log peers that have fallen silent."""
+        """Log each peer whose beacons have stopped, once per loss."""
         alive = {p.ip for p in self.alive()}
         for ip in set(self._heard_at) & set(self._peers) - alive - self._lost:
             self._lost.add(ip)
@@ -160,21 +170,21 @@
         return list(self._peers.values())
 
     def alive(self) -> list[Peer]:
-        """Return the hosts heard lately, those of the own zone first."""
+        """Return the heard hosts in random order, those of the own zone first."""
         found = [p for p in self._peers.values() if self.is_heard(p.ip)]
         random.shuffle(found)
         found.sort(key=lambda p: p.zone != self.own.zone)
         return found
 
     def is_heard(self, ip: str) -> bool:
-        """Whether a host was heard lately."""
+        """Whether beacons of a host have arrived within the timeout."""
         if ip not in self._peers:
             return False
         now = asyncio.get_running_loop().time()
         return now < self._heard_until.get(ip, float("-inf"))
 
     def heard_fraction(self) -> float:
-        """Return the part of all hosts that are heard, this one included."""
+        """Return the fraction of all hosts that are heard, this host included."""
         now = asyncio.get_running_loop().time()
         if now - self._heard_fraction_at >= HEARD_FRACTION_CACHE_SECONDS:
             self._heard_fraction_at = now
@@ -183,13 +193,14 @@
         return self._heard_fraction
 
     def n_hosts(self) -> int:
-        """Return the number of hosts that registered, this one included."""
+        """Return the number of known hosts, this host included."""
         return 1 + len(self._peers)
 
     def seconds_since_heard(self, ip: str) -> float:
-        """Return for how long a host hasn't been heard.
+        """Return the time since the last beacon of a host.
 
-        One that never was counts from the first question about it.
+        For a host that has never sent one, the time counts from the first call of this
+        method for it.
         """
         now = asyncio.get_running_loop().time()
         heard_at = self._heard_at.get(ip)
@@ -200,12 +211,14 @@
     def is_partitioned(
         self, zone_timeout_seconds: float = ZONE_TIMEOUT_SECONDS
     ) -> bool:
-        """Whether all hosts of other zones, or all hosts at all, have fallen silent.
+        """Whether no beacons arrive from any other zone.
+
+        In a fleet with a single zone: whether no other host is heard at all.
 
         Parameters
         ----------
-        seconds : float
-            For how long other zones have been silent.
+        zone_timeout_seconds : float
+            Time without a beacon after which a zone counts as unreachable.
         """
         now = asyncio.get_running_loop().time()
         zones = {p.zone for p in self._peers.values()} - {self.own.zone}
@@ -217,13 +230,18 @@
         )
 
     def by_ip(self, ip: str) -> Peer | None:
-        """Return a host by its address."""
+        """Return a host by its IP address, or None if it is unknown."""
         return self._peers.get(ip)
 
     def any_store_outage_within(self, seconds: float) -> bool:
-        """Whether some host may have been without the store in the last seconds.
+        """Whether any other host may have been disconnected from the store recently.
 
-        One that isn't heard may be without it now.
+        A host that is not heard may be disconnected now.
+
+        Parameters
+        ----------
+        seconds : float
+            Length of the period that ends now.
         """
         now = asyncio.get_running_loop().time()
         if len(self.alive()) < len(self._peers):
@@ -231,11 +249,18 @@
         return any(now - at < seconds for at in self._last_store_outage_at.values())
 
     def is_same_process_heard(self, ip: str, boot: str) -> bool:
-        """Whether a host's process is heard and the same as before."""
+        """Whether a host is heard and its process has not restarted.
+
+        Parameters
+        ----------
+        ip : str
+        boot : str
+            Identifier of the process that is expected to run.
+        """
         return any(p.ip == ip and p.boot == boot for p in self.alive())
 
     def peers_other_zones_first(self) -> list[Peer]:
-        """Return the hosts heard lately, one of each other zone first."""
+        """Return the heard hosts, beginning with one host of each other zone."""
         seen = {self.own.zone}
         first, rest = [], []
         for peer in self.alive():
@@ -244,24 +269,24 @@
         return first + rest
 
     def lender_of(self, slot: int) -> Peer | None:
-        """Return the host that lends tokens to programs of a slot, if one is heard."""
+        """Return a heard host that lends tokens to programs of a hash slot, or None."""
         lends = (p for p in self.alive() if slot in self._lending.get(p.ip, ()))
         return next(lends, None)
 
     def own_zone_hosts(self) -> list[Peer]:
-        """Return the hosts of the own zone that are heard, this one included.
+        """Return the heard hosts of the own zone, this host included.
 
-        Those with the most processor time come first; all hosts that hear the same
-        ones have the same order.
+        Hosts with more processor time come first. The order is deterministic: hosts
+        that hear the same hosts compute the same order.
         """
         zone = self.own.zone
         found = [self.own, *(p for p in self.alive() if p.zone == zone)]
         return sorted(found, key=lambda p: (-p.cores, _ip_hash(p.ip), p.ip))
 
     def feeder(self) -> Peer | None:
-        """Return the host that tells this one of changes of rows.
+        """Return the host from which this host gets changes of store rows.
 
-        None where this one asks the store itself.
+        None if this host polls the store itself.
         """
         if len(self._peers) < MIN_PEERS_FOR_FEEDERS:
             return None
@@ -271,16 +296,18 @@
         return feeders[_ip_hash(self.own.ip) % len(feeders)]
 
     def peers_reaching_store(self) -> list[Peer]:
-        """Return the hosts heard lately that reach the store."""
+        """Return the heard hosts that reach the store directly."""
         return [p for p in self.alive() if self._store_up.get(p.ip)]
 
     def relay_candidates(self, homes: Homes = None) -> list[Peer]:
-        """Return the hosts to which the store has room for more calls.
+        """Return the hosts that can relay calls to the store.
+
+        Hosts whose calls the store throttles are left out.
 
         Parameters
         ----------
         homes : frozenset of str or None
-            Regions whose hosts may carry the call.
+            Regions whose hosts may relay the call. None allows all regions.
         """
         return [
             peer
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_isolation.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_isolation.py
@@ -1,4 +1,4 @@
-"""Whether this host is cut off from the store and from the other zones."""
+"""Detects that this host can reach neither the store nor the other zones."""
 
 import asyncio
 
@@ -7,34 +7,39 @@
 from swifttide_daemon.telemetry import EventLog
 
 BALANCER_REMOVAL_SECONDS = 2.1
-"""Time until the balancer has taken out a host that isn't ready: it asks each second
-and counts two misses."""
+"""Time until the load balancer removes a host that is not ready. The balancer probes
+every second and removes a host after two failed probes."""
 
 STORE_PROBE_DELAY_SECONDS = 0.45
-"""After two rounds without a beacon of another zone it is found out whether the store
-is there, while the rest of the silence passes."""
+"""Time without a beacon from other zones after which the store is probed: two beacon
+rounds. The probe runs while the rest of the zone timeout passes."""
 
 MIN_RETRY_SECONDS = 0.15
-"""Shortest pause before a caller tries another host."""
+"""Shortest delay before a caller retries on another host."""
 
 
 class IsolationDetector:
-    """Notices that this host is cut off.
+    """Detects a network partition that separates this host from the rest of the fleet.
 
-    Load pattern: a zone is cut off from the others and from the store, and callers
-    still reach it.
+    The case that matters is a zone that is disconnected from the other zones and from
+    the store while callers still reach it. Without this check its hosts would refuse
+    every new program until the network recovers, although hosts of other zones, which
+    the callers also reach, could serve them.
 
-    Without it: its hosts refuse every new program until the cut heals, though hosts of
-    other zones, which the callers reach too, could serve them.
-
-    Grounds: in an outage of the store itself the other zones are still heard, and
-    sending callers there would gain nothing.
+    The host counts as isolated only if both the store and the other zones are
+    unreachable. In an outage of the store alone the other zones are still heard, and
+    redirecting callers to them would gain nothing.
 
     Parameters
     ----------
     fleet : Fleet
     store : RelayedStore
     log : EventLog
+
+    Attributes
+    ----------
+    active : bool
+        Whether the host is isolated, as of the last `update`.
     """
 
     def __init__(self, fleet: Fleet, store: RelayedStore, log: EventLog):
@@ -45,7 +50,7 @@
         self.active = False
 
     def update(self) -> None:
-        """Look again."""
+        """Check the connectivity again and log a change of the state."""
         active = self._is_cut_off()
         if active == self.active:
             return
@@ -55,10 +60,11 @@
         self._log.warning(event, peers=len(self._fleet.alive()))
 
     def retry_elsewhere_seconds(self) -> float | None:
-        """Return after how many seconds callers reach another host, None if no sooner.
+        """Return the delay after which a caller's retry reaches another host.
 
-        When the host knows that it is cut off, the balancer still sends callers here
-        until it has asked twice.
+        None while this host is not isolated: a retry elsewhere would gain nothing.
+        After the host has detected its isolation, the load balancer still routes
+        callers here until two of its probes have failed.
         """
         if not self.active:
             return None
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_keeper_choice.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_keeper_choice.py
@@ -1,4 +1,4 @@
-"""Which host keeps something for all others."""
+"""Chooses the host that keeps a piece of state on behalf of all hosts, its keeper."""
 
 from collections.abc import Callable
 
@@ -7,18 +7,22 @@
 from swifttide_daemon.gateway.peers._fleet import Fleet
 
 KEEPER_SUSPECT_SECONDS = 0.5
-"""A keeper that didn't answer is passed over for so long; one that has died is no
-longer heard after that."""
+"""Time for which a keeper that did not answer is skipped. A keeper that has failed is
+no longer heard after that time."""
 
 
 class KeeperChoice:
-    """Finds keepers among the hosts that hold shares: all others hear these best.
+    """Selects keepers by hashing the name of the state over the candidate hosts.
+
+    The candidates are the hosts that hold shares of the customers' rate limits, because
+    these send beacons to all other hosts in every round, so their loss is detected
+    first.
 
     Parameters
     ----------
     fleet : Fleet
     holders : callable
-        Returns the addresses of the hosts that hold shares.
+        Returns the IP addresses of the hosts that hold shares.
     """
 
     def __init__(self, fleet: Fleet, holders: Callable[[], tuple[str, ...]]):
@@ -30,11 +34,14 @@
         self._ordered_for: tuple[str, ...] = ()
 
     def suspect(self, host: str) -> None:
-        """Pass over a keeper that didn't answer."""
+        """Skip a keeper that did not answer for `KEEPER_SUSPECT_SECONDS`."""
         self._suspects[host] = elapsed_seconds() + KEEPER_SUSPECT_SECONDS
 
     def is_primary_keeper(self, name: str) -> bool:
-        """Whether this host keeps what has this name, whomever it has passed over."""
+        """Whether this host is the first keeper of a name among the heard hosts.
+
+        Hosts that are only suspected count as candidates here.
+        """
         heard = [
             host
             for host in self._holders()
@@ -43,11 +50,14 @@
         return (keeper_order(name, tuple(heard)) or [self._own_ip])[0] == self._own_ip
 
     def n_candidates(self) -> int:
-        """Return the number of hosts among which keepers are."""
+        """Return the number of hosts from which keepers are chosen."""
         return len(self._holders())
 
     def keepers(self, name: str) -> list[str]:
-        """Return who keeps what has this name, and who would be next."""
+        """Return the IP addresses of the keeper of a name and of its successors.
+
+        The order is the order of preference. Suspected hosts are left out.
+        """
         now = elapsed_seconds()
         own = self._own_ip
         found = tuple(
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer.py
@@ -1,22 +1,23 @@
-"""Another host of the fleet."""
+"""Address and identity of a host of the fleet."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """A host as it registered itself.
+    """Address and identity of a host, as the host itself reports them.
 
     Parameters
     ----------
     ip : str
     port : int
-        For calls and beacons from other hosts.
+        Port on which the host accepts calls and beacons from other hosts.
     zone : str
+        Availability zone.
     boot : str
-        Drawn anew at each start of its process.
+        Random identifier of the host's process, new at each process start.
     cores : float
-        Processor time that it has in a second, in seconds.
+        Processor time available to the host, in CPU seconds per second.
     """
 
     ip: str
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_client.py
@@ -1,4 +1,4 @@
-"""Calls to other hosts."""
+"""HTTP client for calls to other hosts."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class PeerClient:
-    """Calls other hosts.
+    """Sends calls to other hosts over pooled HTTP connections.
 
     Parameters
     ----------
@@ -30,9 +30,17 @@
     async def call(
         self, peer: Peer, request: PeerRequest, seconds: float
     ) -> PeerAnswer | None:
-        """Make a call; None when there was no answer in time.
+        """Send a call and return the answer.
 
-        Whether the call was carried out isn't known then.
+        None if no valid answer arrived in time. The other host may or may not have
+        carried out the call in that case.
+
+        Parameters
+        ----------
+        peer : Peer
+        request : PeerRequest
+        seconds : float
+            Timeout of the whole call.
         """
         body = encode(request)
         fields = [
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_messages.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_messages.py
@@ -1,4 +1,7 @@
-"""Calls between hosts."""
+"""Messages of the calls between hosts: requests, answers and their JSON encoding.
+
+The docstring of a request states what the receiving host does.
+"""
 
 import msgspec
 
@@ -14,27 +17,37 @@
 
 
 class TakeTokens(msgspec.Struct, tag="take_tokens"):
-    """Hand over the free tokens of a program, which leave the host with the answer."""
+    """Hand over the free tokens of a program.
+
+    The tokens are deducted from the receiving host when it sends the answer.
+
+    Parameters
+    ----------
+    program : str
+        Key of the program.
+    asker : str
+        IP address of the host that takes the tokens.
+    """
 
     program: str
     asker: str
 
 
 class AskTokens(msgspec.Struct, tag="ask_tokens"):
-    """Find tokens for a turn while the store is away.
+    """Lend tokens for a turn (one model request) while the store is unavailable.
 
     Parameters
     ----------
     program : str
         Key of the program.
     budget : int
-        Tokens that all turns of the program may generate.
+        Tokens that all turns of the program together may generate.
     need : int
-        Tokens of use now.
+        Number of tokens that the turn can use now.
     most : int
-        Most that one turn may generate.
+        Maximum number of tokens that one turn may generate.
     asker : str
-        IP of the asking host.
+        IP address of the requesting host.
     """
 
     program: str
@@ -45,13 +58,14 @@
 
 
 class HandedTokens(msgspec.Struct, tag="handed_tokens"):
-    """Tokens that are the asking host's from now on.
+    """Tokens that belong to the requesting host from now on.
 
     Parameters
     ----------
     tokens : int
     moved_to : str
-        IP of a host that took tokens here before, and may have some.
+        IP address of a host that took the program's tokens from here earlier and may
+        still have some.
     """
 
     tokens: int
@@ -59,29 +73,37 @@
 
 
 class AskRelease(msgspec.Struct, tag="ask_release"):
-    """Lend nothing to a program any more, so that its account can grant it all."""
+    """Stop lending to a program, so that its account can grant the whole budget.
+
+    Parameters
+    ----------
+    program : str
+        Key of the program.
+    budget : int
+        Tokens that all turns of the program together may generate.
+    """
 
     program: str
     budget: int
 
 
 class Loan(msgspec.Struct):
-    """What is lent to a program without a row.
+    """Tokens that are lent to a program without a write to the store.
 
     Parameters
     ----------
     budget : int
-        Of the program, as the turn that asked first had it.
+        Token budget of the program, as stated by the first turn that asked.
     held : int
-        What an account of the program holds back.
+        Tokens of the budget that an account of the program reserves for lending.
     left : int
         Tokens that may still be lent.
     lent : int
-        Tokens lent and not yet charged to the account.
+        Tokens that are lent and not yet charged to the account.
     holders : list of str
-        Hosts that may have some of the program's tokens.
+        IP addresses of hosts that may have some of the program's tokens.
     released : bool
-        Whether nothing may be lent: the account has it all.
+        Whether lending has ended because the account can grant the whole budget.
     """
 
     budget: int
@@ -93,14 +115,14 @@
 
 
 class HandSlots(msgspec.Struct, tag="hand_slots"):
-    """Lend from these slots from now on; the sender doesn't any more.
+    """Take over lending for programs of some hash slots; the sender has stopped.
 
     Parameters
     ----------
     waits : dict of int to float
-        Slots, and in how many seconds each may be lent from.
+        For each slot, the seconds until lending from it may start.
     loans : dict of str to Loan
-        By key of the program.
+        Loans by key of the program.
     """
 
     waits: dict[int, float]
@@ -108,7 +130,7 @@
 
 
 class KeepCopy(msgspec.Struct, tag="keep_copy"):
-    """Keep a turn in memory while the store is away.
+    """Keep a copy of a turn in memory while the store is unavailable.
 
     Parameters
     ----------
@@ -116,12 +138,13 @@
         Key of the turn.
     transcript : bytes
     seconds : float
-        How long the turn is kept.
+        Time for which the copy is kept.
     origin : str
-        IP of the host that stores it when the store is back.
+        IP address of the host that writes the turn to the store once the store is
+        available again.
     origin_boot : str
-        Of the origin's process. With another boot, or while the origin is silent,
-        whoever has a copy stores it.
+        Identifier of the origin's process. If the origin has restarted since, or sends
+        no beacons, any host with a copy writes the turn to the store.
     """
 
     turn: str
@@ -132,37 +155,37 @@
 
 
 class DropCopies(msgspec.Struct, tag="drop_copies"):
-    """These turns are stored; copies are no longer needed."""
+    """Drop the copies of these turns, because the turns are now in the store."""
 
     turns: list[str]
 
 
 class ReadTurn(msgspec.Struct, tag="read_turn"):
-    """Return a turn that the host has in memory."""
+    """Return the transcript of a turn that the host has in memory."""
 
     turn: str
 
 
 class FoundTurn(msgspec.Struct, tag="found_turn"):
-    """A turn's transcript; None where it isn't in memory."""
+    """Transcript of a turn; None if the turn is not in memory."""
 
     transcript: bytes | None
 
 
 class Done(msgspec.Struct, tag="done"):
-    """The call was carried out, or not."""
+    """Whether the request was carried out."""
 
     ok: bool
 
 
 class Released(msgspec.Struct, tag="released"):
-    """What the owner of a program's slot says of what it may lend."""
+    """Answer of a slot's owner to the request to stop lending to a program."""
 
     verdict: ReleaseVerdict
 
 
 class RelayCommit(msgspec.Struct, tag="commit"):
-    """Apply a transaction for a host that doesn't reach the store."""
+    """Apply a transaction on behalf of a host that does not reach the store."""
 
     tx: Transaction
 
@@ -175,7 +198,7 @@
 
 
 class RelayRead(msgspec.Struct, tag="read"):
-    """Read rows for a host that doesn't reach the store."""
+    """Read rows on behalf of a host that does not reach the store."""
 
     table: str
     part: str
@@ -189,7 +212,7 @@
 
 
 class RelayChanges(msgspec.Struct, tag="changes"):
-    """Wait for changes for a host that doesn't reach the store."""
+    """Wait for changes of rows on behalf of a host that does not reach the store."""
 
     table: str
     after: int
@@ -202,13 +225,17 @@
 
 
 class ReadCopy(msgspec.Struct, tag="read_copy"):
-    """Return a table's rows as the host knows them, whatever the store does."""
+    """Return the host's cached rows of a table, even if the store is unavailable."""
 
     table: str
 
 
 class FollowTable(msgspec.Struct, tag="follow_table"):
-    """Return what changed in a table after a version, as the host learns of it."""
+    """Return the rows of a table that changed after a version.
+
+    The host answers from its own copy of the table as it receives changes, and waits
+    for a change if there is none yet.
+    """
 
     table: str
     after: int
@@ -216,7 +243,7 @@
 
 
 class StoreOutcome(msgspec.Struct, tag="store_outcome"):
-    """What the store answered; exactly one field is set."""
+    """Result of a relayed store call; exactly one field is set."""
 
     applied: Applied | None = None
     conflict: Conflict | None = None
@@ -226,7 +253,7 @@
 
     @classmethod
     def of(cls, outcome) -> "StoreOutcome":
-        """Wrap an outcome."""
+        """Wrap a result in the field for its type."""
         match outcome:
             case Applied():
                 return cls(applied=outcome)
@@ -240,14 +267,14 @@
                 return cls(unavailable=outcome)
 
     def unwrap(self):
-        """Return the outcome."""
+        """Return the result; an empty message counts as an unknown outcome."""
         return (
             self.applied
             or self.conflict
             or self.rows
             or self.history_lost
             or self.unavailable
-            or Unavailable("an empty answer", True)
+            or Unavailable("relay answered without a store result", True)
         )
 
 
@@ -277,7 +304,7 @@
 
 
 def decode_request(data: bytes) -> PeerRequest:
-    """Decode a call; raises `msgspec.DecodeError`."""
+    """Decode a request; raises `msgspec.DecodeError`."""
     return _requests.decode(data)
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_server.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_server.py
@@ -1,4 +1,4 @@
-"""Answers calls of other hosts."""
+"""HTTP server that answers calls of other hosts."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,12 +22,12 @@
 
 
 class PeerServer:
-    """A port for the other hosts: JSON over HTTP, one task a connection.
+    """Server for calls of other hosts: JSON over HTTP, one task per connection.
 
     Parameters
     ----------
     handle : callable
-        Carries out a call.
+        Carries out a request and returns the answer.
     log : EventLog
     """
 
@@ -39,7 +39,7 @@
         self._server = None
 
     async def listen(self, ip: str, port: int) -> int:
-        """Accept connections; return the port."""
+        """Start to accept connections; return the port that is bound."""
         self._server = await asyncio.start_server(self._serve, ip, port)
         return self._server.sockets[0].getsockname()[1]
 
@@ -50,7 +50,7 @@
             while await self._serve_one(http, reader, writer):
                 http.start_next_cycle()
         except asyncio.CancelledError:
-            # The process ends while a peer keeps its connection open.
+            # The process shuts down while a peer keeps its connection open.
             return
         except (OSError, EOFError, h11.ProtocolError) as exc:
             self._log.debug("peer_connection_lost", detail=type(exc).__name__)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_service.py
@@ -1,4 +1,8 @@
-"""What hosts do for each other."""
+"""Carries out requests of other hosts, and sends requests that may need several hosts.
+
+The requests concern tokens and loans of programs, copies of turns in memory, relayed
+store calls and cached tables.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -35,52 +39,55 @@
 from swifttide_daemon.telemetry import EventLog
 
 MAX_PEERS_ASKED = 3
-"""Hosts that are asked for what they know; the newest copy is taken."""
+"""Upper limit of hosts that are asked for a table copy, of which the newest is used, or
+that are asked to take slots over."""
 
 READ_COPY_TIMEOUT_SECONDS = 0.3
-"""Time for a copy of a table."""
+"""Timeout for a request for a copy of a table."""
 
 
 TAKE_TOKENS_TIMEOUT_SECONDS = 0.1
-"""Time for another host to hand tokens over from memory: some twenty times what a call
-takes, a part of what a turn's caller bears."""
+"""Timeout for another host to hand over tokens from memory. It is about twenty times
+the duration of a call, and a fraction of the delay that a caller tolerates."""
 
 MAX_TOKEN_REDIRECTS = 4
-"""Hosts in a row that are asked where a program's tokens have gone."""
+"""Upper limit of rounds in which a program's tokens are followed from host to host."""
 
 ASK_TOKENS_TIMEOUT_SECONDS = 0.3
-"""Time for the lender of a program's slot, which asks other hosts first."""
+"""Timeout for the lender of a program's slot, which itself asks other hosts first."""
 
 RELEASE_TIMEOUT_SECONDS = 0.5
-"""Time for the owner of a slot, which writes a row first: 13 ms while the store is
-well."""
+"""Timeout for the owner of a slot, which writes a row to the store before it answers.
+The write takes 13 ms while the store works normally."""
 
 OWNER_LOST_SECONDS = 2.0
-"""An owner that wasn't heard for so long may not come back: ten beacons."""
+"""Time without a beacon, ten beacon intervals, after which the owner of a slot may not
+come back."""
 
 HAND_SLOTS_TIMEOUT_SECONDS = 0.5
-"""Time for another host to take slots over."""
+"""Timeout for another host to take slots over."""
 
 
 class PeerService:
-    """Carries out calls of other hosts, and makes those that go to several.
+    """Carries out requests of other hosts, and sends those that may need several hosts.
 
     Parameters
     ----------
     direct : SharedStore
-        The store without a relay: a call that was relayed isn't relayed again.
+        Direct connection to the store. Relayed calls use it, so that they are not
+        relayed a second time.
     fleet : Fleet
     peers : PeerClient
     budgets : callable
-        Returns the keeper of this host's tokens.
+        Returns the `BudgetKeeper` that holds this host's tokens.
     lender : callable
-        Returns what lends tokens while the store is away.
+        Returns the `TokenLender` that lends tokens while the store is unavailable.
     turns : callable
-        Returns the keeper of turns.
+        Returns the `TurnKeeper`.
     owner_of : callable
-        Returns the IP of the host that owns a slot, None where there is none.
+        Takes a hash slot; returns the IP address of the host that owns it, or None.
     watch_of : callable
-        Returns what follows a table here, or None.
+        Takes the name of a table; returns the `TableWatch` that follows it, or None.
     log : EventLog
     """
 
@@ -107,7 +114,7 @@
         self._log = log
 
     async def answer(self, request: PeerRequest) -> PeerAnswer:
-        """Carry out another host's call."""
+        """Carry out another host's request and return the answer."""
         store = self._direct
         match request:
             case TakeTokens(program, asker):
@@ -134,16 +141,18 @@
             case ReadCopy(table):
                 watch = self._watch_of(table)
                 found = watch.copy() if watch else None
-                found = found or Unavailable("not known here")
+                found = found or Unavailable("no copy of this table on the peer")
                 return StoreOutcome.of(found)
             case FollowTable(table, after, seconds):
                 watch = self._watch_of(table)
                 if watch is None:
-                    return StoreOutcome.of(Unavailable("not followed here"))
+                    return StoreOutcome.of(
+                        Unavailable("peer does not follow this table")
+                    )
                 return StoreOutcome.of(await watch.changes_after(after, seconds))
 
     async def find_copy(self, table: str) -> Rows | None:
-        """Return the newest of what some other hosts know of a table."""
+        """Return the newest copy of a table among some heard hosts, or None."""
         peers = self._fleet.alive()[:MAX_PEERS_ASKED]
         calls = [
             self._peers.call(p, ReadCopy(table), READ_COPY_TIMEOUT_SECONDS)
@@ -159,7 +168,10 @@
         return max(copies, key=lambda rows: rows.version, default=None)
 
     async def ask_lender(self, ask: AskTokens) -> int:
-        """Ask the host that lends to a program for tokens."""
+        """Borrow tokens from the host that lends to a program.
+
+        Returns the number of tokens, 0 if there is no lender or no answer.
+        """
         slot = slot_of(ask.program)
         lender = self._lender()
         if slot in lender.slots():
@@ -174,10 +186,15 @@
         return 0
 
     async def ask_release(self, program: str, budget: int) -> ReleaseVerdict:
-        """Ask the owner of a program's slot to lend nothing to it any more."""
+        """Ask the owner of a program's slot to stop lending to the program.
+
+        Without an answer the result is ``DOUBTFUL`` if the owner has sent no beacon for
+        `OWNER_LOST_SECONDS`, otherwise ``LATER``.
+        """
         ip = self._owner_of(slot_of(program))
         if ip is None:
-            # Free, as in a fleet that has just started: somebody takes it soon.
+            # The slot has no owner, as in a fleet that has just started. Some host
+            # will acquire it soon.
             return ReleaseVerdict.LATER
         if ip == self._fleet.own.ip:
             return await self._lender().release(program, budget)
@@ -194,9 +211,19 @@
     async def collect_tokens(
         self, program: str, ips: tuple[str, ...] | None, asker: str
     ) -> int:
-        """Take a program's free tokens from hosts; from all that are heard if None.
+        """Take a program's free tokens from other hosts; return their number.
+
+        Tokens may have been moved to further hosts since. Those hosts are asked as
+        well.
 
-        They may have moved on from there; whoever took them is asked as well.
+        Parameters
+        ----------
+        program : str
+            Key of the program.
+        ips : tuple of str or None
+            IP addresses of the hosts to ask. None asks all heard hosts and this host.
+        asker : str
+            IP address of the host that takes the tokens.
         """
         asked = {asker}
         wanted = {p.ip for p in self._fleet.alive()} | {self._fleet.own.ip}
@@ -213,7 +240,7 @@
         return found
 
     async def _take_tokens(self, program, ips, asker) -> list[HandedTokens]:
-        """Ask hosts for their tokens; those that aren't heard are left out."""
+        """Ask hosts for their free tokens; hosts that are not heard are left out."""
         own = self._fleet.own.ip
         found = [self._budgets().withdraw(program, asker)] if own in ips else []
         request = TakeTokens(program, asker)
@@ -226,10 +253,11 @@
         return found + [a for a in answers if isinstance(a, HandedTokens)]
 
     async def hand_slots(self, handed: HandSlots) -> bool:
-        """Have another host lend from this host's slots; return whether one does.
+        """Hand lending for this host's slots to another host.
 
-        A host that doesn't answer may lend from now on: to ask another one then could
-        have two lend to the same program.
+        Returns whether a host has taken them over. If a host does not answer, no
+        further host is asked: the silent host may have taken the slots over, and two
+        hosts could then lend to the same program.
         """
         for peer in self._fleet.alive()[:MAX_PEERS_ASKED]:
             match await self._peers.call(peer, handed, HAND_SLOTS_TIMEOUT_SECONDS):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_hosts.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_hosts.py
@@ -1,4 +1,4 @@
-"""Peer services of several hosts in one process."""
+"""Test helpers that run the peer services of several hosts in one process."""
 
 import asyncio
 
@@ -8,9 +8,15 @@
 
 
 class InProcessPeerClient:
-    """Carries calls to the hosts that `reached` returns, by IP.
-
-    Answers are lost where ``is_lost`` says so: what the host did stands.
+    """Peer client that calls other hosts in the same process, without a network.
+
+    Parameters
+    ----------
+    reached : callable
+        Returns the reachable hosts by IP address. A call to another host gets no
+        answer.
+    is_lost : callable
+        Returns whether an answer is lost after the host has carried out the request.
     """
 
     def __init__(self, reached, is_lost=lambda: False):
@@ -27,7 +33,10 @@
 
 
 def make_peer_service(ip, calls, reached, budgets, lender, owner_of, log):
-    """Return a host's peer service; it hears the hosts that ``reached`` returns."""
+    """Return a host's peer service and its fleet.
+
+    The host hears the hosts that ``reached`` returns.
+    """
     fleet = Fleet(Peer(ip, 1, "zone-a", ip + "-boot"), log)
     fleet.alive = lambda: [Peer(i, 1, "zone-a", "") for i in reached() if i != ip]
     fleet.by_ip = lambda i: Peer(i, 1, "zone-a", "") if i in reached() else None
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_beacon_rounds.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_beacon_rounds.py
@@ -1,4 +1,4 @@
-"""Who gets a beacon in a round."""
+"""Tests of the selection of beacon recipients and of the timeouts of beacons."""
 
 import asyncio
 
@@ -19,15 +19,20 @@
 
 
 class TestBeaconGroups:
-    def test_all_hosts_of_a_small_fleet_each_time(self):
+    def test_small_fleet_sends_to_all_hosts_in_each_round(self):
         for number in range(5):
             groups = beacon_groups(peers(11), "zone-0", number, False)
             assert sum(len(g.peers) for g in groups) == 11
             assert {g.pause_seconds for g in groups} == {0.2}
 
     @pytest.mark.parametrize("n_hosts", [69, 300])
-    def test_each_host_in_turn_and_not_too_many_at_once(self, n_hosts):
-        """Hundreds of hosts that tell all others each time would do little else."""
+    def test_large_fleet_rotates_recipients_within_the_limits(self, n_hosts):
+        """Guards against quadratic beacon traffic.
+
+        If each of hundreds of hosts sent to all others in every round, the hosts would
+        spend most of their processor time on beacons.
+        """
+        # By IP address, the number of the last round in which the peer got a beacon.
         told = {}
         for number in range(60):
             groups = beacon_groups(peers(n_hosts), "zone-0", number, False)
@@ -42,15 +47,17 @@
                     told[peer.ip] = number
         assert len(told) == n_hosts
 
-    def test_holders_of_shares_tell_all_each_time(self):
+    def test_holder_of_rate_shares_sends_to_all_hosts_in_each_round(self):
         groups = beacon_groups(peers(69), "zone-0", 1, True)
         assert [len(g.peers) for g in groups] == [69]
 
 
-class TestHeard:
-    def test_zone_is_missed_before_each_of_its_hosts(self, log):
-        """Hosts of other zones are told in turn, each every second or so. A zone that
-        is cut off must be noticed sooner than that: callers wait meanwhile.
+class TestBeaconTimeouts:
+    def test_zone_times_out_before_its_hosts(self, log):
+        """Guards against late detection of a network partition.
+
+        Hosts of other zones get beacons in rotation, each about once a second. A
+        partition must be detected sooner than that, because callers wait meanwhile.
         """
 
         async def main():
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_isolation.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""How soon a host knows that it is cut off."""
+"""Tests of how quickly a host detects that it is isolated, and of false detections."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class PartitionedHost:
-    """A host that hears two other zones until it is cut off from them."""
+    """Host that hears two other zones until a network partition separates it."""
 
     def __init__(self, store, log):
         self.fleet = Fleet(Peer("10.0.0.1", 1, "zone-0", "b"), log)
@@ -26,7 +26,10 @@
         self.isolation = IsolationDetector(self.fleet, self.store, log)
 
     async def run(self, seconds, heard=()):
-        """Check as the house is kept; return when it was isolated first, or None."""
+        """Update the detector at its usual interval, with beacons from some peers.
+
+        Returns the seconds until the host was first isolated, or None.
+        """
         loop = asyncio.get_running_loop()
         began, isolated_at, next_beacon = loop.time(), None, loop.time()
         while loop.time() - began < seconds:
@@ -42,8 +45,11 @@
 
 
 class TestIsolation:
-    def test_cut_off_zone_is_noticed_soon(self, store, log):
-        """Guards against callers that a host which is cut off keeps refusing."""
+    def test_partitioned_zone_is_detected_quickly(self, store, log):
+        """Guards against an isolated host that keeps refusing its callers.
+
+        Without quick detection the callers are not redirected to other zones.
+        """
 
         async def main():
             cut = PartitionedHost(store, log)
@@ -54,8 +60,8 @@
         assert run_paused(main()) <= 0.9
 
     @pytest.mark.parametrize("heard", [PEERS, PEERS[:1]])
-    def test_outage_of_the_store_alone_is_none(self, store, log, heard):
-        """Guards against hosts that send callers away in an outage of the store."""
+    def test_store_outage_alone_is_not_isolation(self, store, log, heard):
+        """Guards against hosts that redirect callers in an outage of the store."""
 
         async def main():
             cut = PartitionedHost(store, log)
@@ -65,8 +71,10 @@
 
         assert run_paused(main()) is None
 
-    def test_silence_while_the_store_answers_is_none(self, store, log):
-        """Guards against a host that is not ready as beacons are late."""
+    def test_missing_beacons_while_the_store_answers_are_not_isolation(
+        self, store, log
+    ):
+        """Guards against a host that reports not ready because beacons are late."""
 
         async def main():
             cut = PartitionedHost(store, log)
