--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_gateway.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_gateway.py
@@ -37,13 +37,13 @@
 from swifttide_daemon.gateway.rates._rate_keeper import RateKeeper
 from swifttide_daemon.gateway.rates._share_keeper import MAX_HOLDERS, ShareKeeper
 from swifttide_daemon.gateway.store._decoders import Decoders
+from swifttide_daemon.gateway.store._membership_feed import MembershipFeed
 from swifttide_daemon.gateway.store._operator_feed import OperatorFeed
-from swifttide_daemon.gateway.store._passed_feed import PassedFeed
+from swifttide_daemon.gateway.store._peer_fed_store import PeerFedStore
 from swifttide_daemon.gateway.store._relayed_store import RelayedStore
-from swifttide_daemon.gateway.store._row_feed import RowFeed
 from swifttide_daemon.gateway.store._row_reaper import RowReaper
 from swifttide_daemon.gateway.store._shared_store import SharedStore
-from swifttide_daemon.gateway.store._table_feeds import TableFeeds
+from swifttide_daemon.gateway.store._table_watches import TableWatches
 from swifttide_daemon.gateway.targets._cold_targets import ColdTargets
 from swifttide_daemon.gateway.targets._connection_pool import ConnectionPool
 from swifttide_daemon.gateway.targets._order_keeper import OrderKeeper
@@ -135,7 +135,7 @@
         self._record = LendingRecord(
             self._store,
             cfg.ip,
-            lambda: self._store.is_reachable and not self._store.in_doubt,
+            lambda: self._store.is_reachable and not self._store.is_probing,
             lambda: self._lender,
             lambda: bool(self._shares.slots),
             self._record_period,
@@ -156,12 +156,12 @@
         self._datagrams.on_order_message = self._order.take_message
 
     def _follow_store(self):
-        self._feeds = TableFeeds.build(
+        self._feeds = TableWatches.build(
             self._store,
-            PassedFeed(self._store, self._fleet, self._peers),
+            PeerFedStore(self._store, self._fleet, self._peers),
             self._decoders,
             OperatorFeed(self._decoders, self.beliefs, self._take_config, self._log),
-            RowFeed(
+            MembershipFeed(
                 self._decoders,
                 self.beliefs,
                 self._strikes,
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_exchange.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_exchange.py
@@ -73,7 +73,7 @@
             boot=own.boot,
             number=number,
             store_up=self._store.direct_up,
-            store_full=self._store.is_full,
+            store_full=self._store.is_throttled,
             away_seconds=self._memory.away_seconds(),
             config_change=self._config_watch.newest_change,
             target_change=self._targets_watch.newest_change,
@@ -92,5 +92,5 @@
         self._health.told(beacon.ip, beacon.outstanding, beacon.pause_seconds)
         self._order.told(beacon.ip, beacon.outstanding)
         self._strikes.take(beacon.strikes)
-        self._config_watch.heard_of(beacon.config_change)
-        self._targets_watch.heard_of(beacon.target_change)
+        self._config_watch.on_peer_change(beacon.config_change)
+        self._targets_watch.on_peer_change(beacon.target_change)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_isolation.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_isolation.py
@@ -74,5 +74,5 @@
     def _is_cut_off(self):
         if not self._fleet.is_partitioned(STORE_PROBE_DELAY_SECONDS):
             return False
-        self._store.doubt()
+        self._store.probe_store()
         return self._fleet.is_partitioned() and not self._store.is_reachable
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_row_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_membership_feed.py
@@ -12,7 +12,7 @@
 RowsTuple = tuple[StoredRow, ...]
 
 
-class RowFeed:
+class MembershipFeed:
     """Takes rows of targets and hosts.
 
     Parameters
@@ -42,7 +42,7 @@
         self._log = log
         self._store_up = True
 
-    def note_store(self, up: bool) -> None:
+    def set_store_state(self, up: bool) -> None:
         """Note whether the store answered."""
         if up and not self._store_up:
             self._beliefs.store_returned()
@@ -50,7 +50,7 @@
             self._beliefs.store_lost()
         self._store_up = up
 
-    def take_all_targets(self, rows: RowsTuple) -> None:
+    def replace_targets(self, rows: RowsTuple) -> None:
         """Take all entries of targets."""
         entries = {}
         for row in rows:
@@ -60,7 +60,7 @@
                 self._strikes.seen(entry)
         self._beliefs.replace_targets(entries)
 
-    def take_changed_targets(self, rows: RowsTuple) -> int:
+    def apply_target_changes(self, rows: RowsTuple) -> int:
         """Take entries that were written or removed; return the version of the news."""
         newest = 0
         for row in rows:
@@ -74,13 +74,13 @@
                 newest = max(newest, row.version)
         return newest
 
-    def take_all_hosts(self, rows: RowsTuple) -> None:
+    def replace_hosts(self, rows: RowsTuple) -> None:
         """Take all rows of the fleet's table."""
         hosts = tuple(r for r in rows if r.key.key.startswith(HOST_KEY_PREFIX))
         self._fleet.take_all(hosts)
-        self.take_changed_hosts(rows)
+        self.apply_host_changes(rows)
 
-    def take_changed_hosts(self, rows: RowsTuple) -> int:
+    def apply_host_changes(self, rows: RowsTuple) -> int:
         """Take rows of the fleet's table; return the version of the newest."""
         for row in rows:
             if row.key.key.startswith(HOST_KEY_PREFIX):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_operator_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_operator_feed.py
@@ -33,29 +33,29 @@
         self._on_config = on_config
         self._log = log
 
-    def take_all(self, rows: tuple[StoredRow, ...]) -> None:
+    def replace_rows(self, rows: tuple[StoredRow, ...]) -> None:
         """Take all rows; a zone without one is no longer emptied."""
         zones = (self._decoders.emptied_zone(r.key.key) for r in rows)
         self._beliefs.replace_emptied_zones({z for z in zones if z is not None})
         for row in rows:
-            self._take_config(row)
+            self._apply_config(row)
 
-    def take_changes(self, rows: tuple[StoredRow, ...]) -> int:
+    def apply_changes(self, rows: tuple[StoredRow, ...]) -> int:
         """Take rows that were written or removed; return the version of the news."""
         newest = 0
         for row in rows:
-            if self._take_zone(row) or self._take_config(row):
+            if self._apply_emptied_zone(row) or self._apply_config(row):
                 newest = max(newest, row.version)
         return newest
 
-    def _take_zone(self, row) -> bool:
+    def _apply_emptied_zone(self, row) -> bool:
         """Take a zone's row; that it is there counts, whatever stands in it."""
         zone = self._decoders.emptied_zone(row.key.key)
         if zone is None:
             return False
         return self._beliefs.empty_zone(zone, not row.deleted)
 
-    def _take_config(self, row) -> bool:
+    def _apply_config(self, row) -> bool:
         if row.key.key != self._decoders.config_key or row.value is None:
             return False
         try:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_passed_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_peer_fed_store.py
@@ -23,14 +23,14 @@
     Unavailable,
 )
 
-MARGIN_SECONDS = 0.3
+ANSWER_MARGIN_SECONDS = 0.3
 """For the way of an answer, beyond the time for which a question waits."""
 
-REST_SECONDS = 2.0
+FEEDER_BACKOFF_SECONDS = 2.0
 """After a host gave no usable answer, until it is asked again."""
 
 
-class PassedFeed:
+class PeerFedStore:
     """Follows tables through another host where there is one for it.
 
     Parameters
@@ -44,7 +44,7 @@
         self._store = store
         self._fleet = fleet
         self._peers = peers
-        self._rests_until = float("-inf")
+        self._backoff_until = float("-inf")
 
     async def read(self, table: str, part: str) -> Rows | Unavailable:
         """Read all rows of a part from the store."""
@@ -60,15 +60,15 @@
         """
         feeder = self._fleet.feeder()
         now = asyncio.get_running_loop().time()
-        if feeder is None or not wait_seconds or now < self._rests_until:
+        if feeder is None or not wait_seconds or now < self._backoff_until:
             return await self._store.changes(table, after, wait_seconds)
         ask = FollowTable(table, after, wait_seconds)
-        match await self._peers.call(feeder, ask, wait_seconds + MARGIN_SECONDS):
+        match await self._peers.call(feeder, ask, wait_seconds + ANSWER_MARGIN_SECONDS):
             case StoreOutcome() as answer:
                 found = answer.unwrap()
                 if not isinstance(found, Unavailable):
                     return found
-        self._rests_until = asyncio.get_running_loop().time() + REST_SECONDS
+        self._backoff_until = asyncio.get_running_loop().time() + FEEDER_BACKOFF_SECONDS
         return await self._store.changes(table, after, 0.0)
 
     def reconnect(self) -> None:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_relayed_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_relayed_store.py
@@ -39,28 +39,28 @@
 )
 from swifttide_daemon.telemetry import EventLog
 
-NEXT_WAY_SECONDS = 0.2
+HEDGE_DELAY_SECONDS = 0.2
 """A call without an answer is made once more after so long, on a new connection and
 then through another host: fifteen times what one takes. Its answer may be lost, or its
 connection silent."""
 
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 """Time for a call by all ways together, while the store is well."""
 
-USUAL_TIMES = 1.5
+HEDGE_LATENCY_FACTOR = 1.5
 """The next way is tried after so many times what calls take of late. A store that is
 slow answers all the same; calls made twice would only make it slower."""
 
-CALL_TIMES = 3.0
+TIMEOUT_LATENCY_FACTOR = 3.0
 """Likewise for the end of a call."""
 
-MAX_CALL_SECONDS = 2.0
+MAX_CALL_TIMEOUT_SECONDS = 2.0
 """Longest call: who waits for it leaves after two seconds without an event."""
 
-USUAL_GAIN = 0.2
+LATENCY_DECAY_WEIGHT = 0.2
 """Weight of a call that was quicker than usual; a slower one counts at once."""
 
-PROBE_SECONDS = 0.2
+PROBE_INTERVAL_SECONDS = 0.2
 """Between questions to a store that didn't answer."""
 
 PROBE_TABLE = "fleet"
@@ -71,21 +71,21 @@
 """Time for a probe: a hundred times what it takes while the store is well, and more
 than it takes while the store is slow."""
 
-FULL_SECONDS = 0.5
+THROTTLED_SECONDS = 0.5
 """So long after a call was turned away the store counts as full for this host: as long
 as the waiting that it takes on in one part."""
 
-FULL_PAUSE_SECONDS = 0.05
+MIN_THROTTLE_BACKOFF_SECONDS = 0.05
 """First pause after a call was turned away; doubled each time, and drawn from half of
 it to all of it, so that hosts don't come back at once."""
 
-MAX_FULL_PAUSE_SECONDS = 0.2
+MAX_THROTTLE_BACKOFF_SECONDS = 0.2
 """Longest such pause: a fifth of a call's time."""
 
-MAX_PEERS = 2
+MAX_RELAY_PEERS = 2
 """Hosts that are asked to relay one call."""
 
-RELAY_SECONDS = 1.0
+RELAY_TIMEOUT_SECONDS = 1.0
 """Time for a relayed call: the store's own and the way there and back."""
 
 
@@ -115,8 +115,8 @@
         self._metrics = metrics
         self._log = log
         self._probe: asyncio.Task | None = None
-        self._usual_seconds = 0.0
-        self._full_at = float("-inf")
+        self._recent_latency_seconds = 0.0
+        self._throttled_at = float("-inf")
         self.direct_up = True
 
     async def commit(
@@ -124,7 +124,7 @@
     ) -> Applied | Conflict | Unavailable:
         """Apply a transaction; only hosts in these regions may carry it."""
         relayed = RelayCommit(tx)
-        return await self._either(lambda: self._direct.commit(tx), relayed, homes)
+        return await self._hedged_call(lambda: self._direct.commit(tx), relayed, homes)
 
     async def read(
         self, table: str, part: str, start: str = "", end: str = "", homes: Homes = None
@@ -136,9 +136,11 @@
             return self._direct.read(table, part, start, end)
 
         if start or end:
-            return await self._either(call, relayed, homes)
+            return await self._hedged_call(call, relayed, homes)
         # A whole part may be large: read twice at a time it would take twice as long.
-        return await self._one_way(call, relayed, RELAY_SECONDS, homes)
+        return await self._direct_then_relay(
+            call, relayed, RELAY_TIMEOUT_SECONDS, homes
+        )
 
     async def changes(
         self, table: str, after: int, wait_seconds: float
@@ -149,13 +151,13 @@
         another one: it would serve by an old configuration otherwise, and use keys and
         targets that are no longer to be used.
         """
-        return await self._one_way(
+        return await self._direct_then_relay(
             lambda: self._direct.changes(table, after, wait_seconds),
             RelayChanges(table, after, wait_seconds),
-            wait_seconds + RELAY_SECONDS,
+            wait_seconds + RELAY_TIMEOUT_SECONDS,
         )
 
-    async def _one_way(self, call, relayed, seconds, homes=None):
+    async def _direct_then_relay(self, call, relayed, seconds, homes=None):
         """Ask the store or, where it doesn't answer this host, another host."""
         outcome = Unavailable("out of reach")
         if self.direct_up:
@@ -163,18 +165,20 @@
             if not isinstance(outcome, Unavailable):
                 return outcome
             if outcome.throttled:
-                self._note_full(relayed)
+                self._record_throttling(relayed)
             else:
-                self._doubt(outcome)
-        return await self._relay(relayed, seconds, outcome, homes)
+                self._start_probe(outcome)
+        return await self._call_relays(relayed, seconds, outcome, homes)
 
     @property
-    def is_full(self) -> bool:
+    def is_throttled(self) -> bool:
         """Whether the store has turned calls of this host away lately as too many."""
-        return asyncio.get_running_loop().time() - self._full_at < FULL_SECONDS
+        return (
+            asyncio.get_running_loop().time() - self._throttled_at < THROTTLED_SECONDS
+        )
 
     @property
-    def in_doubt(self) -> bool:
+    def is_probing(self) -> bool:
         """Whether it is being found out if the store is there."""
         return self._probe is not None and not self._probe.done()
 
@@ -190,49 +194,52 @@
         the connection, calls go through other hosts as soon as that is found out.
         """
         self._direct.reconnect()
-        self._doubt(Unavailable("no answer yet"))
+        self._start_probe(Unavailable("no answer yet"))
 
-    async def _either(self, call, relayed, homes):
+    async def _hedged_call(self, call, relayed, homes):
         if not self.is_reachable:
             # Known to be down: fail at once, rather than let callers wait in vain.
             return Unavailable("out of reach")
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
-            usual = CALL_TIMES * self._usual_seconds
-            limit = min(MAX_CALL_SECONDS, max(CALL_SECONDS, usual))
+            usual = TIMEOUT_LATENCY_FACTOR * self._recent_latency_seconds
+            limit = min(MAX_CALL_TIMEOUT_SECONDS, max(CALL_TIMEOUT_SECONDS, usual))
             async with asyncio.timeout(limit):
-                outcome = await self._race(call, relayed, homes)
+                outcome = await self._run_attempts(call, relayed, homes)
         except TimeoutError:
             outcome = Unavailable("no answer", True)
-            if not self.is_full:
-                self._doubt(outcome)
+            if not self.is_throttled:
+                self._start_probe(outcome)
         name = type(relayed).__name__
         seconds = loop.time() - began
         self._metrics.store_call(name, type(outcome).__name__, seconds)
         if not isinstance(outcome, Unavailable):
-            self._note_seconds(seconds)
+            self._record_latency(seconds)
         return outcome
 
-    def _note_seconds(self, seconds):
-        faded = self._usual_seconds + (seconds - self._usual_seconds) * USUAL_GAIN
-        self._usual_seconds = max(seconds, faded)
+    def _record_latency(self, seconds):
+        faded = (
+            self._recent_latency_seconds
+            + (seconds - self._recent_latency_seconds) * LATENCY_DECAY_WEIGHT
+        )
+        self._recent_latency_seconds = max(seconds, faded)
 
-    async def _race(self, call, relayed, homes):
+    async def _run_attempts(self, call, relayed, homes):
         """Try one way after the other, not waiting long for any; take the first answer.
 
         All ways may carry a transaction out: it takes effect once.
         """
-        ways = self._ways(call, relayed, homes)
-        pause = FULL_PAUSE_SECONDS
+        ways = self._attempts(call, relayed, homes)
+        pause = MIN_THROTTLE_BACKOFF_SECONDS
         pending: set[asyncio.Task] = set()
         outcome = Unavailable("no way to the store")
         try:
             while ways or pending:
                 if ways:
                     pending.add(asyncio.ensure_future(ways.pop(0)()))
-                usual = USUAL_TIMES * self._usual_seconds
-                wait = max(NEXT_WAY_SECONDS, usual) if ways else None
+                usual = HEDGE_LATENCY_FACTOR * self._recent_latency_seconds
+                wait = max(HEDGE_DELAY_SECONDS, usual) if ways else None
                 done, pending = await asyncio.wait(
                     pending, timeout=wait, return_when=asyncio.FIRST_COMPLETED
                 )
@@ -241,11 +248,11 @@
                     if not isinstance(outcome, Unavailable):
                         return outcome
                     if not outcome.throttled:
-                        self._doubt(outcome)
+                        self._start_probe(outcome)
                         continue
-                    self._note_full(relayed)
+                    self._record_throttling(relayed)
                     await asyncio.sleep(pause * random.uniform(0.5, 1.0))
-                    pause = min(2.0 * pause, MAX_FULL_PAUSE_SECONDS)
+                    pause = min(2.0 * pause, MAX_THROTTLE_BACKOFF_SECONDS)
                     if not ways:
                         # Until the call's time is over: there is no other way.
                         ways.append(call)
@@ -254,40 +261,40 @@
                     # Or the store has, which a short question tells sooner than the
                     # end of this call's time.
                     self._direct.reconnect()
-                    self._doubt(Unavailable("no answer yet"))
+                    self._start_probe(Unavailable("no answer yet"))
             return outcome
         finally:
             for task in pending:
                 task.cancel()
 
-    def _ways(self, call, relayed, homes):
+    def _attempts(self, call, relayed, homes):
         """Return how the store may be reached, the likeliest way first."""
         direct = [call, call] if self.direct_up else []
         relays = [
             functools.partial(self._ask_peer, peer, relayed)
-            for peer in self._fleet.relay_candidates(homes)[:MAX_PEERS]
+            for peer in self._fleet.relay_candidates(homes)[:MAX_RELAY_PEERS]
         ]
-        if self.is_full:
+        if self.is_throttled:
             # It may turn only some hosts away.
             return relays[:1] + direct[:1] + relays[1:]
         return direct + relays
 
-    def _note_full(self, relayed):
-        if not self.is_full:
+    def _record_throttling(self, relayed):
+        if not self.is_throttled:
             table, part = relayed.table_and_part
             self._log.warning(
                 "store_full", call=type(relayed).__name__, table=table, part=part
             )
-        self._full_at = asyncio.get_running_loop().time()
+        self._throttled_at = asyncio.get_running_loop().time()
 
     async def _ask_peer(self, peer, relayed):
-        match await self._peers.call(peer, relayed, RELAY_SECONDS):
+        match await self._peers.call(peer, relayed, RELAY_TIMEOUT_SECONDS):
             case StoreOutcome() as answer:
                 return answer.unwrap()
         return Unavailable("no answer from a peer", True)
 
-    async def _relay(self, relayed, seconds, outcome, homes):
-        for peer in self._fleet.relay_candidates(homes)[:MAX_PEERS]:
+    async def _call_relays(self, relayed, seconds, outcome, homes):
+        for peer in self._fleet.relay_candidates(homes)[:MAX_RELAY_PEERS]:
             match await self._peers.call(peer, relayed, seconds):
                 case StoreOutcome() as answer:
                     found = answer.unwrap()
@@ -295,18 +302,18 @@
                         return found
         return outcome
 
-    def doubt(self) -> None:
+    def probe_store(self) -> None:
         """Find out whether the store is there; other hosts have fallen silent."""
         if self.direct_up:
-            self._doubt(Unavailable("other zones are silent"))
+            self._start_probe(Unavailable("other zones are silent"))
 
-    def _doubt(self, outcome):
+    def _start_probe(self, outcome):
         """Ask the store whether it is there, until it answers."""
         if self._probe is None or self._probe.done():
             loop = asyncio.get_running_loop()
-            self._probe = loop.create_task(self._ask(outcome.detail))
+            self._probe = loop.create_task(self._probe_until_reachable(outcome.detail))
 
-    async def _ask(self, detail):
+    async def _probe_until_reachable(self, detail):
         while True:
             self._direct.reconnect()
             answer = await self._probe_once()
@@ -318,7 +325,7 @@
             if up:
                 return
             detail = answer.detail
-            await asyncio.sleep(PROBE_SECONDS * random.uniform(0.7, 1.3))
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS * random.uniform(0.7, 1.3))
 
     async def _probe_once(self):
         try:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_row_reaper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_row_reaper.py
@@ -25,16 +25,16 @@
 )
 from swifttide_daemon.telemetry import EventLog
 
-MARGIN_SECONDS = 60.0
+REMOVAL_MARGIN_SECONDS = 60.0
 """Beyond the time for which a row is kept: callers' and hosts' clocks may differ."""
 
-PAUSE_SECONDS = 1.0
+BATCH_INTERVAL_SECONDS = 1.0
 """Between batches."""
 
-MAX_BATCH = 50
+MAX_ROWS_PER_BATCH = 50
 """Rows of one transaction; the store takes a hundred entries."""
 
-MAX_ROWS = 100_000
+MAX_SCHEDULED_ROWS = 100_000
 """Rows remembered, some 200 bytes each; what is beyond stays in the store."""
 
 
@@ -59,10 +59,10 @@
 
         A later call for the same row replaces an earlier one.
         """
-        if len(self._latest) >= MAX_ROWS and key not in self._latest:
+        if len(self._latest) >= MAX_SCHEDULED_ROWS and key not in self._latest:
             self._log.warning("row_not_remembered", table=key.table)
             return
-        due = asyncio.get_running_loop().time() + seconds + MARGIN_SECONDS
+        due = asyncio.get_running_loop().time() + seconds + REMOVAL_MARGIN_SECONDS
         self._latest[key] = (due, version)
         self._n_added += 1
         heapq.heappush(self._due, (due, self._n_added, key))
@@ -70,7 +70,7 @@
     async def run(self) -> None:
         """Remove what is due until cancelled."""
         while True:
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(BATCH_INTERVAL_SECONDS)
             batch = self._next_batch()
             if batch:
                 await self._remove(batch)
@@ -80,7 +80,7 @@
         now = asyncio.get_running_loop().time()
         batch: dict[RowKey, int] = {}
         others = []
-        while self._due and self._due[0][0] <= now and len(batch) < MAX_BATCH:
+        while self._due and self._due[0][0] <= now and len(batch) < MAX_ROWS_PER_BATCH:
             item = heapq.heappop(self._due)
             due, _, key = item
             latest, version = self._latest.get(key, (None, 0))
@@ -92,7 +92,7 @@
                 del self._latest[key]
             else:
                 others.append(item)
-            if len(others) > MAX_BATCH:
+            if len(others) > MAX_ROWS_PER_BATCH:
                 break
         for item in others:
             heapq.heappush(self._due, item)
@@ -111,7 +111,7 @@
                 current = {row.key: row.version for row in rows}
                 for key, version in batch.items():
                     if current.get(key, version) == version:
-                        self.remove_after(key, version, -MARGIN_SECONDS)
+                        self.remove_after(key, version, -REMOVAL_MARGIN_SECONDS)
             case _:
                 for key, version in batch.items():
                     self.remove_after(key, version, 0.0)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_table_watch.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_table_watch.py
@@ -13,30 +13,30 @@
 )
 from swifttide_daemon.telemetry import EventLog
 
-WAIT_SECONDS = 2.0
+LONG_POLL_SECONDS = 2.0
 """How long one question for changes waits. A store that has fallen silent is noticed
 a second later; each question costs a call."""
 
-MIN_PAUSE_SECONDS = 0.1
+POLL_PAUSE_SECONDS = 0.1
 """Pause after changes of a table that seldom changes."""
 
-BUSY_PAUSE_SECONDS = 0.8
+BUSY_TABLE_POLL_PAUSE_SECONDS = 0.8
 """Pause for a table in which rows are renewed all the time: what it brings may be known
 2 s late, a slow store takes 0.3 s, and other hosts' beacons tell sooner when there is
 something new. With 0.1 s, 69 hosts made 21,800 calls in half a minute."""
 
-BEHIND_SECONDS = 0.4
+STALE_POLL_SECONDS = 0.4
 """An answer this old may lie on a silent connection, when others know more by now;
 beacons and the store's own way take less."""
 
-MAX_AGE_SECONDS = 3.5
+MAX_FORWARDED_AGE_SECONDS = 3.5
 """What is passed on to other hosts is no older: a question's whole wait, a pause and
 the store's own time."""
 
-MAX_REMOVED = 500
+MAX_REMEMBERED_REMOVALS = 500
 """Rows remembered as removed for hosts that ask what changed, some 200 bytes each."""
 
-RETRY_SECONDS = (0.1, 0.3)
+RETRY_DELAY_RANGE_SECONDS = (0.1, 0.3)
 """Pause after a failure, drawn anew each time so that hosts don't come at once."""
 
 
@@ -75,7 +75,7 @@
         on_state: Callable[[bool], None],
         find_copy: Callable[[str], Awaitable[Rows | None]],
         log: EventLog,
-        pause_seconds: float = MIN_PAUSE_SECONDS,
+        pause_seconds: float = POLL_PAUSE_SECONDS,
     ):
         self._store = store
         self._table = table
@@ -88,13 +88,13 @@
         self._rows: dict[str, StoredRow] | None = None
         self._version = 0
         self._answered_at = float("-inf")
-        self._behind = asyncio.Event()
+        self._peer_ahead = asyncio.Event()
         self._pause_seconds = pause_seconds
         self._is_pausing = False
-        self._fresh_at = float("-inf")
+        self._current_as_of = float("-inf")
         self._removed: dict[str, StoredRow] = {}
         self._complete_from = 0
-        self._changed = asyncio.Event()
+        self._change_event = asyncio.Event()
         self.newest_change = 0
 
     async def run(self) -> None:
@@ -104,25 +104,25 @@
         while True:
             # After a failure, ask for an answer at once: it tells that the store is
             # back, which a question that waits would only tell when it ends.
-            wait = WAIT_SECONDS if self._up and not was_behind else 0.0
-            outcome = await self._ask(wait)
+            wait = LONG_POLL_SECONDS if self._up and not was_behind else 0.0
+            outcome = await self._poll_changes(wait)
             was_behind = outcome is None
             match outcome:
                 case None:
                     continue
                 case Rows() as found:
-                    self._note_state(True, "")
-                    self._take_changes(found)
+                    self._report_state(True, "")
+                    self._apply_changes(found)
                     await self._pause()
                 case HistoryLost():
                     # Changes were missed, removals among them: read all again.
                     self._log.warning("store_history_lost", table=self._table)
                     await self._read_all()
                 case Unavailable(detail):
-                    self._note_state(False, detail)
-                    await asyncio.sleep(random.uniform(*RETRY_SECONDS))
+                    self._report_state(False, detail)
+                    await asyncio.sleep(random.uniform(*RETRY_DELAY_RANGE_SECONDS))
 
-    def heard_of(self, change: int) -> None:
+    def on_peer_change(self, change: int) -> None:
         """Note that another host knows a change.
 
         A connection can go silent without a reset. The question that waits on it for
@@ -132,22 +132,22 @@
         if change <= self._version:
             return
         now = asyncio.get_running_loop().time()
-        if self._is_pausing or now - self._answered_at > BEHIND_SECONDS:
-            self._behind.set()
+        if self._is_pausing or now - self._answered_at > STALE_POLL_SECONDS:
+            self._peer_ahead.set()
 
     async def _pause(self):
         """Let changes gather, unless another host knows one that was news to it."""
-        self._behind.clear()
+        self._peer_ahead.clear()
         self._is_pausing = True
         try:
             async with asyncio.timeout(self._pause_seconds):
-                await self._behind.wait()
+                await self._peer_ahead.wait()
         except TimeoutError:
             pass
         finally:
             self._is_pausing = False
 
-    async def _ask(self, wait) -> Rows | HistoryLost | Unavailable | None:
+    async def _poll_changes(self, wait) -> Rows | HistoryLost | Unavailable | None:
         """Ask for changes; None when another host was heard to know more."""
         if not wait:
             # The answer comes at once, or has begun to: a large one takes longer than
@@ -155,11 +155,11 @@
             found = await self._store.changes(self._table, self._version, wait)
             self._answered_at = asyncio.get_running_loop().time()
             return found
-        self._behind.clear()
+        self._peer_ahead.clear()
         asking = asyncio.ensure_future(
             self._store.changes(self._table, self._version, wait)
         )
-        behind = asyncio.ensure_future(self._behind.wait())
+        behind = asyncio.ensure_future(self._peer_ahead.wait())
         try:
             await asyncio.wait((asking, behind), return_when=asyncio.FIRST_COMPLETED)
             if asking.done():
@@ -191,11 +191,11 @@
         while self.newest_change <= after and loop.time() < until:
             try:
                 async with asyncio.timeout_at(until):
-                    await self._changed.wait()
+                    await self._change_event.wait()
             except TimeoutError:
                 break
-        age = loop.time() - self._fresh_at
-        if self._rows is None or age > MAX_AGE_SECONDS:
+        age = loop.time() - self._current_as_of
+        if self._rows is None or age > MAX_FORWARDED_AGE_SECONDS:
             return Unavailable("not up to date")
         if after < self._complete_from:
             return HistoryLost()
@@ -203,23 +203,23 @@
         found = sorted((r for r in found if r.version > after), key=_version_of)
         return Rows(tuple(found), max(after, self._version), 0, age)
 
-    def _announce(self):
-        self._changed.set()
-        self._changed = asyncio.Event()
+    def _wake_followers(self):
+        self._change_event.set()
+        self._change_event = asyncio.Event()
 
     async def _read_all(self) -> None:
         while True:
             match await self._store.read(self._table, ""):
                 case Rows() as found:
-                    self._note_state(True, "")
-                    self._take_all(found)
+                    self._report_state(True, "")
+                    self._replace_rows(found)
                     return
                 case Unavailable(detail):
-                    self._note_state(False, detail)
-                    await self._take_copy()
-                    await asyncio.sleep(random.uniform(*RETRY_SECONDS))
+                    self._report_state(False, detail)
+                    await self._load_peer_copy()
+                    await asyncio.sleep(random.uniform(*RETRY_DELAY_RANGE_SECONDS))
 
-    async def _take_copy(self):
+    async def _load_peer_copy(self):
         """Begin with what another host knows.
 
         A host that starts while the store is away would otherwise serve nothing
@@ -232,48 +232,48 @@
             self._log.warning(
                 "rows_from_peer", table=self._table, version=found.version
             )
-            self._take_all(found)
+            self._replace_rows(found)
 
-    def _take_all(self, found):
+    def _replace_rows(self, found):
         self._rows = {r.key.key: r for r in found.rows}
         self._version = found.version
-        self._note_age(found)
+        self._record_age(found)
         self._removed.clear()
         self._complete_from = found.version
         self._on_all(found.rows)
-        self._announce()
+        self._wake_followers()
 
-    def _note_age(self, found):
+    def _record_age(self, found):
         now = asyncio.get_running_loop().time()
-        self._fresh_at = max(self._fresh_at, now - found.age_seconds)
+        self._current_as_of = max(self._current_as_of, now - found.age_seconds)
 
-    def _take_changes(self, found):
+    def _apply_changes(self, found):
         for row in found.rows:
             if row.key.part:
                 continue
             if row.value is None and row.deleted:
                 self._rows.pop(row.key.key, None)
-                self._note_removed(row)
+                self._remember_removal(row)
             else:
                 self._rows[row.key.key] = row
                 self._removed.pop(row.key.key, None)
         self._version = found.version
-        self._note_age(found)
+        self._record_age(found)
         if not found.rows:
             return
         before = self.newest_change
         self.newest_change = max(before, self._on_change(found.rows))
         if self.newest_change > before:
-            self._announce()
+            self._wake_followers()
 
-    def _note_removed(self, row):
+    def _remember_removal(self, row):
         self._removed[row.key.key] = row
-        if len(self._removed) > MAX_REMOVED:
+        if len(self._removed) > MAX_REMEMBERED_REMOVALS:
             oldest = min(self._removed.values(), key=_version_of)
             del self._removed[oldest.key.key]
             self._complete_from = oldest.version
 
-    def _note_state(self, up, detail):
+    def _report_state(self, up, detail):
         if up != self._up:
             self._up = up
             event = "store_regained" if up else "store_lost"
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_table_feeds.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_table_watches.py
@@ -5,17 +5,20 @@
 
 from swifttide_daemon.gateway.peers._fleet import FLEET_TABLE
 from swifttide_daemon.gateway.store._decoders import Decoders
+from swifttide_daemon.gateway.store._membership_feed import MembershipFeed
 from swifttide_daemon.gateway.store._operator_feed import OperatorFeed
-from swifttide_daemon.gateway.store._passed_feed import PassedFeed
+from swifttide_daemon.gateway.store._peer_fed_store import PeerFedStore
 from swifttide_daemon.gateway.store._relayed_store import RelayedStore
-from swifttide_daemon.gateway.store._row_feed import RowFeed
 from swifttide_daemon.gateway.store._shared_store import Rows
-from swifttide_daemon.gateway.store._table_watch import BUSY_PAUSE_SECONDS, TableWatch
+from swifttide_daemon.gateway.store._table_watch import (
+    BUSY_TABLE_POLL_PAUSE_SECONDS,
+    TableWatch,
+)
 from swifttide_daemon.telemetry import EventLog
 
 
 @dataclass(frozen=True, slots=True)
-class TableFeeds:
+class TableWatches:
     """What follows configuration, targets and hosts.
 
     Parameters
@@ -28,19 +31,19 @@
     config: TableWatch
     targets: TableWatch
     hosts: TableWatch
-    tables: dict[str, TableWatch]
+    by_table: dict[str, TableWatch]
 
     @classmethod
     def build(
         cls,
         store: RelayedStore,
-        passed: PassedFeed,
+        peer_fed_store: PeerFedStore,
         decoders: Decoders,
         operator_feed: OperatorFeed,
-        feed: RowFeed,
+        membership_feed: MembershipFeed,
         find_copy: Callable[[str], Awaitable[Rows | None]],
         log: EventLog,
-    ) -> "TableFeeds":
+    ) -> "TableWatches":
         """Return the feeds of one host.
 
         Parameters
@@ -62,31 +65,31 @@
         config = TableWatch(
             store,
             decoders.config_table,
-            operator_feed.take_all,
-            operator_feed.take_changes,
-            _ignore,
+            operator_feed.replace_rows,
+            operator_feed.apply_changes,
+            _ignore_state,
             find_copy,
             log,
         )
         targets = TableWatch(
-            passed,
+            peer_fed_store,
             decoders.targets_table,
-            feed.take_all_targets,
-            feed.take_changed_targets,
-            feed.note_store,
+            membership_feed.replace_targets,
+            membership_feed.apply_target_changes,
+            membership_feed.set_store_state,
             find_copy,
             log,
-            BUSY_PAUSE_SECONDS,
+            BUSY_TABLE_POLL_PAUSE_SECONDS,
         )
         hosts = TableWatch(
-            passed,
+            peer_fed_store,
             FLEET_TABLE,
-            feed.take_all_hosts,
-            feed.take_changed_hosts,
-            _ignore,
+            membership_feed.replace_hosts,
+            membership_feed.apply_host_changes,
+            _ignore_state,
             find_copy,
             log,
-            BUSY_PAUSE_SECONDS,
+            BUSY_TABLE_POLL_PAUSE_SECONDS,
         )
         tables = {
             decoders.config_table: config,
@@ -101,8 +104,8 @@
 
     def watch_of(self, table: str) -> TableWatch | None:
         """Return what follows a table, None where nothing does."""
-        return self.tables.get(table)
+        return self.by_table.get(table)
 
 
-def _ignore(up: bool) -> None:
+def _ignore_state(up: bool) -> None:
     """Take whether the store answered, where that is of no use."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/conftest.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/conftest.py
@@ -17,7 +17,7 @@
 from swifttide_daemon.telemetry import EventLog
 from swifttide_standins.print_office import MemoryRows
 
-HANG_SECONDS = 3.0
+HANG_DURATION_SECONDS = 3.0
 
 
 class FakeStore:
@@ -42,8 +42,8 @@
         self.rows = MemoryRows()
         self.down = False
         self.hangs = False
-        self.away_tables = set()
-        self.lose = 0
+        self.unavailable_tables = set()
+        self.n_lost_answers = 0
         self.delay = False
         self.late = []
         self.n_calls = 0
@@ -52,15 +52,15 @@
         self.n_calls += 1
         await asyncio.sleep(0.01)
         tables = {key.table for key in (*(p.key for p in tx.puts), *tx.removes)}
-        if self.down or tables & self.away_tables:
+        if self.down or tables & self.unavailable_tables:
             return Unavailable("down")
         if self.delay:
             self.late.append(tx)
             await asyncio.sleep(0.5)
             return Unavailable("no answer", True)
         outcome = self._apply(tx)
-        if self.lose:
-            self.lose -= 1
+        if self.n_lost_answers:
+            self.n_lost_answers -= 1
             await asyncio.sleep(0.5)
             return Unavailable("no answer", True)
         return outcome
@@ -74,10 +74,10 @@
     async def read(self, table, part, start="", end=""):
         self.n_calls += 1
         if self.hangs:
-            await asyncio.sleep(HANG_SECONDS)
+            await asyncio.sleep(HANG_DURATION_SECONDS)
             return Unavailable("no answer")
         await asyncio.sleep(0.004)
-        if self.down or table in self.away_tables:
+        if self.down or table in self.unavailable_tables:
             return Unavailable("down")
         found = self.rows.range(table, part, start, end)
         rows = tuple(StoredRow(RowKey(*p), r.value, r.version) for p, r in found)
@@ -109,9 +109,9 @@
 
     def _apply(self, tx):
         failed = self.rows.commit(
-            [(place(c.key), c.version) for c in tx.conditions],
-            [(place(p.key), p.value) for p in tx.puts],
-            [place(k) for k in tx.removes],
+            [(row_place(c.key), c.version) for c in tx.conditions],
+            [(row_place(p.key), p.value) for p in tx.puts],
+            [row_place(k) for k in tx.removes],
         )
         if failed is None:
             return Applied(self.rows.version, self.now_ms)
@@ -123,7 +123,7 @@
         return Conflict(tuple(rows))
 
 
-def place(key):
+def row_place(key):
     """Return a key as `MemoryRows` has it."""
     return (key.table, key.part, key.key)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_budget_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_budget_keeper.py
@@ -126,7 +126,7 @@
 
         async def main():
             hosts = Hosts(store, log, 1)
-            store.lose = 1
+            store.n_lost_answers = 1
             first = await run_turn(hosts.any(0), 90, 10)
             return [first] + [await run_turn(hosts.any(0), 90, 10) for _ in range(2)]
 
@@ -185,7 +185,7 @@
             for _ in range(120):
                 store.down = rng.random() < 0.1
                 store.delay = rng.random() < 0.1
-                store.lose = int(rng.random() < 0.1)
+                store.n_lost_answers = int(rng.random() < 0.1)
                 if rng.random() < 0.1:
                     store.deliver_late()
                 if rng.random() < 0.05:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_passed_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_passed_feed.py
@@ -11,13 +11,13 @@
 )
 from swifttide_daemon.gateway.peers._peer import Peer
 from swifttide_daemon.gateway.peers._peer_messages import FollowTable, StoreOutcome
-from swifttide_daemon.gateway.store._passed_feed import PassedFeed
+from swifttide_daemon.gateway.store._peer_fed_store import PeerFedStore
 from swifttide_daemon.gateway.store._shared_store import Unavailable
 from swifttide_daemon.gateway.store._table_watch import TableWatch
 from swifttide_standins.paused_clock import run_paused
 
 
-class Hosts:
+class FollowingHosts:
     """Hosts of two zones that follow one table.
 
     Attributes
@@ -51,7 +51,7 @@
         async def no_copy(table):
             return None
 
-        source = PassedFeed(self.store, fleet, self)
+        source = PeerFedStore(self.store, fleet, self)
         self.watches[own.ip] = TableWatch(
             source, "t", take, take, lambda up: None, no_copy, log, 0.8
         )
@@ -71,10 +71,10 @@
 
 
 @pytest.fixture
-def play(store, log):
+def run_scenario(store, log):
     def run(scenario, n_hosts=100):
         async def main():
-            hosts = Hosts(store, log, n_hosts)
+            hosts = FollowingHosts(store, log, n_hosts)
             store.rows.put("t", "a", b"1")
             tasks = hosts.run()
             await asyncio.sleep(5.0)
@@ -89,7 +89,7 @@
 
 
 class TestPassedFeed:
-    def test_calls_dont_grow_with_hosts(self, play, store):
+    def test_calls_dont_grow_with_hosts(self, run_scenario, store):
         """Guards against calls that grow with the hosts that follow a table."""
 
         async def scenario(hosts):
@@ -100,31 +100,34 @@
             return store.n_calls - before
 
         n_feeders = 2 * FEEDERS_PER_ZONE
-        assert play(scenario) <= 20.0 / 0.8 * n_feeders * 1.2
+        assert run_scenario(scenario) <= 20.0 / 0.8 * n_feeders * 1.2
 
-    def test_small_fleet_asks_the_store(self, play):
+    def test_small_fleet_asks_the_store(self, run_scenario):
         async def scenario(hosts):
             return [fleet.feeder() for fleet in hosts.fleets.values()]
 
-        assert play(scenario, MIN_PEERS_FOR_FEEDERS) == [None] * MIN_PEERS_FOR_FEEDERS
+        assert (
+            run_scenario(scenario, MIN_PEERS_FOR_FEEDERS)
+            == [None] * MIN_PEERS_FOR_FEEDERS
+        )
 
-    def test_news_reach_all_hosts_soon(self, play, store):
+    def test_news_reach_all_hosts_soon(self, run_scenario, store):
         async def scenario(hosts):
             store.rows.put("t", "a", b"2")
             await asyncio.sleep(1.0)
             return {seen["a"] for seen in hosts.seen.values()}
 
-        assert play(scenario) == {b"2"}
+        assert run_scenario(scenario) == {b"2"}
 
-    def test_removals_are_passed_on(self, play, store):
+    def test_removals_are_passed_on(self, run_scenario, store):
         async def scenario(hosts):
             store.rows.remove("t", "a")
             await asyncio.sleep(1.0)
             return {seen["a"] for seen in hosts.seen.values()}
 
-        assert play(scenario) == {None}
+        assert run_scenario(scenario) == {None}
 
-    def test_frozen_feeder_is_passed_over(self, play, store):
+    def test_frozen_feeder_is_passed_over(self, run_scenario, store):
         """Guards against old beliefs while the hosts that ask the store freeze."""
 
         async def scenario(hosts):
@@ -135,9 +138,9 @@
             await asyncio.sleep(3.5)
             return {s["a"] for ip, s in hosts.seen.items() if ip not in hosts.frozen}
 
-        assert play(scenario) == {b"2"}
+        assert run_scenario(scenario) == {b"2"}
 
-    def test_hosts_that_ask_each_other_find_out(self, play, store):
+    def test_hosts_that_ask_each_other_find_out(self, run_scenario, store):
         """Guards against two hosts that tell each other that nothing has changed."""
 
         async def scenario(hosts):
@@ -149,13 +152,13 @@
             await asyncio.sleep(6.0)
             return hosts.seen[one.ip]["a"], hosts.seen[two.ip]["a"]
 
-        assert play(scenario) == (b"2", b"2")
+        assert run_scenario(scenario) == (b"2", b"2")
 
-    def test_feeder_that_lost_the_store_says_so(self, play, store):
+    def test_feeder_that_lost_the_store_says_so(self, run_scenario, store):
         async def scenario(hosts):
             store.down = True
             await asyncio.sleep(5.0)
             watch = next(iter(hosts.watches.values()))
             return await watch.changes_after(0, 0.1)
 
-        assert isinstance(play(scenario), Unavailable)
+        assert isinstance(run_scenario(scenario), Unavailable)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_relayed_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_relayed_store.py
@@ -29,7 +29,7 @@
 TX = Transaction(puts=(Put(RowKey("t", "", "k"), b"v"),))
 
 
-class Peers:
+class RelayPeers:
     """A host that reaches the store."""
 
     def __init__(self, store):
@@ -48,7 +48,7 @@
         return StoreOutcome.of(Unavailable("not here"))
 
 
-class TurnedAway:
+class RefusingStore:
     """A store that turns this host away: with an answer, silence, or as too many."""
 
     def __init__(self, silent, throttled=False):
@@ -74,17 +74,17 @@
         pass
 
 
-def relayed(direct, store, log, helped=True, has_room=True):
+def relayed_store(direct, store, log, helped=True, has_room=True):
     fleet = Fleet(Peer("10.0.0.1", 1, "zone-a", "b1"), log)
     fleet.peers_reaching_store = lambda: [HELPER] if helped else []
     fleet.relay_candidates = lambda homes=None: (
         fleet.peers_reaching_store() if has_room else []
     )
-    peers = Peers(store)
+    peers = RelayPeers(store)
     return RelayedStore(direct, fleet, peers, GatewayMetrics("h", "z"), log), peers
 
 
-class Full:
+class ThrottlingStore:
     """A store that takes some calls a second and turns the others away."""
 
     def __init__(self, store, per_second):
@@ -124,8 +124,8 @@
         """Callers would be refused, and hosts would probe and relay all the more."""
 
         async def main():
-            full = Full(store, 20)
-            found, peers = relayed(full, store, log, helped=False)
+            full = ThrottlingStore(store, 20)
+            found, peers = relayed_store(full, store, log, helped=False)
             calls = [found.commit(TX) for _ in range(6)]
             outcomes = await asyncio.gather(*calls)
             return outcomes, found.direct_up, full.n_calls
@@ -141,8 +141,8 @@
         """
 
         async def main():
-            full = Full(store, 0.1)
-            found, peers = relayed(full, store, log, has_room=False)
+            full = ThrottlingStore(store, 0.1)
+            found, peers = relayed_store(full, store, log, has_room=False)
             await found.read("t", "")
             outcome = await found.changes("t", 0, 2.0)
             return outcome, peers.n_calls, found.direct_up
@@ -159,8 +159,8 @@
 
         async def main():
             store.rows.put("t", "a", b"1")
-            full = Full(store, 0.0)
-            found, peers = relayed(full, store, log)
+            full = ThrottlingStore(store, 0.0)
+            found, peers = relayed_store(full, store, log)
             await found.read("t", "")
             outcome = await found.changes("t", 0, 2.0)
             return outcome, peers.n_calls, full.n_calls, found.direct_up
@@ -173,7 +173,7 @@
         """The store turns this host away and serves the others."""
 
         async def main():
-            found, _ = relayed(Full(store, 0.0), store, log)
+            found, _ = relayed_store(ThrottlingStore(store, 0.0), store, log)
             await found.read("t", "")
             loop = asyncio.get_running_loop()
             before = loop.time()
@@ -188,7 +188,7 @@
 class TestRelay:
     def test_host_that_is_turned_away_asks_another(self, store, log):
         async def main():
-            found, _ = relayed(TurnedAway(False), store, log)
+            found, _ = relayed_store(RefusingStore(False), store, log)
             return await found.commit(TX), store.rows.rows
 
         outcome, rows = run_paused(main())
@@ -202,7 +202,7 @@
         """
 
         async def main():
-            found, _ = relayed(TurnedAway(True), store, log, helped=False)
+            found, _ = relayed_store(RefusingStore(True), store, log, helped=False)
             await found.commit(TX)
             await asyncio.sleep(1.0)
             loop = asyncio.get_running_loop()
@@ -221,8 +221,8 @@
         """
 
         async def main():
-            silent = TurnedAway(True)
-            found, _ = relayed(silent, store, log, helped=False)
+            silent = RefusingStore(True)
+            found, _ = relayed_store(silent, store, log, helped=False)
             call = asyncio.create_task(found.commit(TX))
             await asyncio.sleep(0.7)
             seen = found.direct_up, call.done()
@@ -234,7 +234,7 @@
     def test_notices_that_the_store_is_back(self, store, log):
         async def main():
             store.down = True
-            found, _ = relayed(store, store, log, helped=False)
+            found, _ = relayed_store(store, store, log, helped=False)
             await found.commit(TX)
             await asyncio.sleep(1.0)
             was_up = found.direct_up
@@ -254,8 +254,8 @@
         """
 
         async def main():
-            store.lose = 1
-            found, _ = relayed(store, store, log, helped=False)
+            store.n_lost_answers = 1
+            found, _ = relayed_store(store, store, log, helped=False)
             loop = asyncio.get_running_loop()
             before = loop.time()
             outcome = await found.commit(TX)
@@ -273,7 +273,7 @@
         """
 
         async def main():
-            found, peers = relayed(store, store, log)
+            found, peers = relayed_store(store, store, log)
             quick = store.commit
 
             async def slow(tx):
@@ -306,8 +306,8 @@
 
         async def main():
             store.rows.put("t", "a", b"1")
-            direct = TurnedAway(silent, throttled)
-            through, _ = relayed(direct, store, log)
+            direct = RefusingStore(silent, throttled)
+            through, _ = relayed_store(direct, store, log)
             seen = {}
 
             def take(rows):
@@ -323,7 +323,7 @@
             store.rows.put("t", "a", b"2")
             for _ in range(10):
                 await asyncio.sleep(0.2)
-                watch.heard_of(store.rows.version)
+                watch.on_peer_change(store.rows.version)
             task.cancel()
             return seen
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_row_reaper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_row_reaper.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from swifttide_daemon.gateway.store._row_reaper import MARGIN_SECONDS, RowReaper
+from swifttide_daemon.gateway.store._row_reaper import REMOVAL_MARGIN_SECONDS, RowReaper
 from swifttide_daemon.gateway.store._shared_store import RowKey
 from swifttide_standins.paused_clock import run_paused
 
@@ -22,7 +22,7 @@
             task = asyncio.create_task(reaper.run())
             for i in range(120):
                 self.write(store, reaper, i, f"p{i % 3}")
-            await asyncio.sleep(60.0 + MARGIN_SECONDS - 5.0)
+            await asyncio.sleep(60.0 + REMOVAL_MARGIN_SECONDS - 5.0)
             before = len(store.rows.rows)
             await asyncio.sleep(30.0)
             task.cancel()
@@ -42,7 +42,7 @@
             self.write(store, reaper, 1)
             self.write(store, reaper, 2)
             store.rows.put("t", "k1", b"other", "p")
-            await asyncio.sleep(60.0 + MARGIN_SECONDS + 20.0)
+            await asyncio.sleep(60.0 + REMOVAL_MARGIN_SECONDS + 20.0)
             task.cancel()
             return [place[2] for place in store.rows.rows]
 
@@ -54,9 +54,9 @@
             task = asyncio.create_task(reaper.run())
             self.write(store, reaper, 1)
             store.down = True
-            await asyncio.sleep(60.0 + MARGIN_SECONDS + 5.0)
+            await asyncio.sleep(60.0 + REMOVAL_MARGIN_SECONDS + 5.0)
             store.down = False
-            await asyncio.sleep(MARGIN_SECONDS + 5.0)
+            await asyncio.sleep(REMOVAL_MARGIN_SECONDS + 5.0)
             task.cancel()
             return len(store.rows.rows)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_share_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_share_keeper.py
@@ -252,7 +252,7 @@
             for _ in range(60):
                 store.down = rng.random() < 0.2
                 store.delay = rng.random() < 0.1
-                store.lose = int(rng.random() < 0.2)
+                store.n_lost_answers = int(rng.random() < 0.2)
                 if rng.random() < 0.2:
                     store.deliver_late()
                 ip = f"h{rng.randrange(8)}"
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_table_watch.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_table_watch.py
@@ -6,7 +6,7 @@
 from swifttide_standins.paused_clock import run_paused
 
 
-class Seen:
+class RecordingWatch:
     """Collects what a watch hands over."""
 
     def __init__(self, store, log, copy=None, pause_seconds=0.1):
@@ -47,7 +47,7 @@
     def test_changes_and_removals(self, store, log):
         async def main():
             store.rows.put("t", "a", b"1")
-            seen = Seen(store, log)
+            seen = RecordingWatch(store, log)
             task = asyncio.create_task(seen.watch.run())
             await asyncio.sleep(0.5)
             store.rows.put("t", "b", b"2")
@@ -61,7 +61,7 @@
     def test_lost_history_replaces_all_rows(self, store, log):
         async def main():
             store.rows.put("t", "a", b"1")
-            seen = Seen(store, log)
+            seen = RecordingWatch(store, log)
             task = asyncio.create_task(seen.watch.run())
             await asyncio.sleep(0.5)
             store.down = True
@@ -87,7 +87,7 @@
             store.rows.put("t", "a", b"1")
             copy = await store.read("t", "")
             store.down = True
-            seen = Seen(store, log, copy)
+            seen = RecordingWatch(store, log, copy)
             task = asyncio.create_task(seen.watch.run())
             await asyncio.sleep(1.0)
             during = dict(seen.rows)
@@ -108,7 +108,7 @@
 
         async def main():
             store.rows.put("t", "a", b"1")
-            seen = Seen(store, log)
+            seen = RecordingWatch(store, log)
             task = asyncio.create_task(seen.watch.run())
             await asyncio.sleep(0.2)
             answering = store.changes
@@ -122,7 +122,7 @@
             store.rows.put("t", "a", b"2")
             await asyncio.sleep(1.0)
             before = dict(seen.rows)
-            seen.watch.heard_of(store.rows.version)
+            seen.watch.on_peer_change(store.rows.version)
             await asyncio.sleep(0.1)
             task.cancel()
             return before, seen.rows
@@ -136,7 +136,7 @@
         """
 
         async def main():
-            seen = Seen(store, log, pause_seconds=0.8)
+            seen = RecordingWatch(store, log, pause_seconds=0.8)
             task = asyncio.create_task(seen.watch.run())
             for i in range(250):
                 store.rows.put("t", f"target{i % 30}", b"as before")
@@ -154,12 +154,12 @@
         """
 
         async def main():
-            seen = Seen(store, log, pause_seconds=0.8)
+            seen = RecordingWatch(store, log, pause_seconds=0.8)
             task = asyncio.create_task(seen.watch.run())
             store.rows.put("t", "a", b"1")
             await asyncio.sleep(0.2)
             store.rows.put("t", "a", b"draining")
-            seen.watch.heard_of(store.rows.version)
+            seen.watch.on_peer_change(store.rows.version)
             await asyncio.sleep(0.05)
             task.cancel()
             return seen.rows
@@ -183,13 +183,13 @@
 
             store.changes = slow
             store.rows.put("t", "a", b"1")
-            seen = Seen(store, log)
+            seen = RecordingWatch(store, log)
             task = asyncio.create_task(seen.watch.run())
             await asyncio.sleep(1.0)
             store.rows.put("t", "a", b"2")
             for _ in range(15):
                 await asyncio.sleep(0.2)
-                seen.watch.heard_of(store.rows.version)
+                seen.watch.on_peer_change(store.rows.version)
             task.cancel()
             return seen.rows
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_token_lender.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_token_lender.py
@@ -162,7 +162,7 @@
             store.down = True
             await asyncio.sleep(2.0)
             assert await fleet.turn(fleet.any(), 300, 8) == 8
-            store.away_tables = {"budgets"}
+            store.unavailable_tables = {"budgets"}
             store.down = False
             await asyncio.sleep(1.0)
             for ip in list(fleet.hosts):
@@ -222,7 +222,7 @@
         if rng.random() < 0.15:
             store.down = not store.down
         store.delay = rng.random() < 0.05
-        store.lose = int(rng.random() < 0.05)
+        store.n_lost_answers = int(rng.random() < 0.05)
         if rng.random() < 0.2:
             store.deliver_late()
         host = fleet.any()
