--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/__init__.py
@@ -1,1 +1,1 @@
-"""Rows of the shared store: how they are reached, followed and removed."""
+"""Access to the rows of the shared store: calls, change feeds and removal of rows."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_decoders.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_decoders.py
@@ -1,4 +1,4 @@
-"""How a platform's rows are read."""
+"""Decoders that make the gateway independent of a platform's row format."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,23 +8,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Decoders:
-    """How the store's rows are read.
+    """Names of the platform's tables, and functions that decode their rows.
 
     Parameters
     ----------
     config_table, config_key : str
-        Where the operator's document lies.
+        Table and key of the operator's configuration document.
     targets_table : str
-        Where targets register.
+        Table in which targets register.
     config : callable
-        Returns a `RoutingConfig`; raises `ValueError`.
+        Takes the bytes of the document and returns a `RoutingConfig`; raises
+        `ValueError`.
     target : callable
-        Returns a `TargetEntry`, or None for an entry that names no target.
+        Takes the key and the bytes of an entry; returns a `TargetEntry`, or None for an
+        entry that does not describe a target.
     emptied_zone : callable
-        Takes a key of the operator's table and returns the availability zone that its
-        row empties of requests; None for another row.
+        Takes a key of the operator's table. Returns the availability zone that the row
+        drains of requests, or None for any other row.
     ready_path : str
-        Path of the balancer's question.
+        URL path of the load balancer's readiness probe.
     """
 
     config_table: str
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_home_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_home_store.py
@@ -1,4 +1,4 @@
-"""The store for work that is bound to some regions."""
+"""Store access for work whose data may only pass through hosts of certain regions."""
 
 from typing import Protocol
 
@@ -13,26 +13,31 @@
 
 
 class RegionalStore(Protocol):
-    """A store that other hosts may carry calls to."""
+    """Store whose calls may be relayed by other hosts.
+
+    The argument ``homes`` is the set of regions whose hosts may relay a call. None
+    allows all regions.
+    """
 
     async def commit(
         self, tx: Transaction, homes: Homes = None
     ) -> Applied | Conflict | Unavailable:
-        """Apply a transaction; only hosts in these regions may carry it."""
+        """Apply a transaction; only hosts in these regions may relay it."""
 
     async def read(
         self, table: str, part: str, start: str = "", end: str = "", homes: Homes = None
     ) -> Rows | Unavailable:
-        """Read rows; only hosts in these regions may carry them."""
+        """Read rows; only hosts in these regions may relay them."""
 
 
 class HomeStore:
-    """Reaches the store through hosts in some regions, or directly.
+    """Reaches the store directly, or through hosts of certain regions.
 
     Parameters
     ----------
     store : RegionalStore
     homes : frozenset of str
+        Regions whose hosts may relay calls.
     """
 
     def __init__(self, store: RegionalStore, homes: frozenset[str]):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_membership_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_membership_feed.py
@@ -1,4 +1,4 @@
-"""Turning rows of targets and hosts into beliefs."""
+"""Applies rows of targets and hosts to this host's view of the fleet."""
 
 from swifttide_daemon.gateway._beliefs import Beliefs
 from swifttide_daemon.gateway.peers._fleet import HOST_KEY_PREFIX, Fleet
@@ -13,15 +13,18 @@
 
 
 class MembershipFeed:
-    """Takes rows of targets and hosts.
+    """Applies rows of targets and hosts.
 
     Parameters
     ----------
     decoders : Decoders
     beliefs : Beliefs
+        This host's view of the targets, which is updated.
     strikes : StrikeKeeper
+        Records crashes of targets; it is told of each target entry.
     fleet : Fleet
     shares : ShareKeeper
+        Gets the row with the shares of the customers' rate limits.
     log : EventLog
     """
 
@@ -43,7 +46,7 @@
         self._store_up = True
 
     def set_store_state(self, up: bool) -> None:
-        """Note whether the store answered."""
+        """Record whether the last call to the store was answered."""
         if up and not self._store_up:
             self._beliefs.store_returned()
         elif not up and self._store_up:
@@ -51,7 +54,7 @@
         self._store_up = up
 
     def replace_targets(self, rows: RowsTuple) -> None:
-        """Take all entries of targets."""
+        """Apply a full read of the table of targets."""
         entries = {}
         for row in rows:
             entry = self._decode_target(row)
@@ -61,7 +64,11 @@
         self._beliefs.replace_targets(entries)
 
     def apply_target_changes(self, rows: RowsTuple) -> int:
-        """Take entries that were written or removed; return the version of the news."""
+        """Apply target entries that were written or removed.
+
+        Returns the newest version among the entries that changed this host's view, or
+        0.
+        """
         newest = 0
         for row in rows:
             entry = self._decode_target(row)
@@ -75,13 +82,13 @@
         return newest
 
     def replace_hosts(self, rows: RowsTuple) -> None:
-        """Take all rows of the fleet's table."""
+        """Apply a full read of the fleet table."""
         hosts = tuple(r for r in rows if r.key.key.startswith(HOST_KEY_PREFIX))
         self._fleet.take_all(hosts)
         self.apply_host_changes(rows)
 
     def apply_host_changes(self, rows: RowsTuple) -> int:
-        """Take rows of the fleet's table; return the version of the newest."""
+        """Apply changed rows of the fleet table; return the newest version, or 0."""
         for row in rows:
             if row.key.key.startswith(HOST_KEY_PREFIX):
                 self._fleet.take_row(row)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_operator_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_operator_feed.py
@@ -1,4 +1,4 @@
-"""Turning the operator's rows into beliefs."""
+"""Applies rows of the operator's table to this host's view of the configuration."""
 
 from collections.abc import Callable
 
@@ -10,14 +10,15 @@
 
 
 class OperatorFeed:
-    """Takes rows of the operator's table: the configuration, and zones to empty.
+    """Applies rows of the operator's table: the configuration, and zones to drain.
 
     Parameters
     ----------
     decoders : Decoders
     beliefs : Beliefs
+        This host's view of configuration and targets, which is updated.
     on_config : callable
-        Takes each configuration that comes in force.
+        Takes each configuration that takes effect.
     log : EventLog
     """
 
@@ -34,14 +35,17 @@
         self._log = log
 
     def replace_rows(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take all rows; a zone without one is no longer emptied."""
+        """Apply a full read of the table; zones without a row are no longer drained."""
         zones = (self._decoders.emptied_zone(r.key.key) for r in rows)
         self._beliefs.replace_emptied_zones({z for z in zones if z is not None})
         for row in rows:
             self._apply_config(row)
 
     def apply_changes(self, rows: tuple[StoredRow, ...]) -> int:
-        """Take rows that were written or removed; return the version of the news."""
+        """Apply rows that were written or removed.
+
+        Returns the newest version among the rows that changed this host's view, or 0.
+        """
         newest = 0
         for row in rows:
             if self._apply_emptied_zone(row) or self._apply_config(row):
@@ -49,7 +53,7 @@
         return newest
 
     def _apply_emptied_zone(self, row) -> bool:
-        """Take a zone's row; that it is there counts, whatever stands in it."""
+        """Apply a row that drains a zone: its existence counts, not its contents."""
         zone = self._decoders.emptied_zone(row.key.key)
         if zone is None:
             return False
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_peer_fed_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_peer_fed_store.py
@@ -1,14 +1,13 @@
-"""Changes of rows, as other hosts pass them on.
+"""Follows tables of the store through another host, to reduce the load on the store.
 
-Load pattern: hundreds of hosts follow tables in which some row is renewed all the time.
+Hundreds of hosts follow tables in which some row is renewed all the time. If each of
+them polled the store for the same changes, the store would get about two hundred times
+the calls of a single host, and each call costs processor time.
 
-Without it: each of them asks the store for the same changes, some two hundred times
-what one host would ask, and pays for each call.
-
-Grounds: in each zone of a large fleet a few hosts ask the store, the others ask one of
-those. What they learn is a few milliseconds older. Each answer tells its age, so that
-hosts that ask each other don't take their silence for news, and whoever gets no answer,
-or an old one, asks the store itself.
+In a large fleet, only a few hosts of each zone, the feeders, poll the store. The other
+hosts poll a feeder, which delays changes by a few milliseconds. Each answer states its
+age, so that hosts that poll each other do not mistake the lack of changes for current
+data. A host that gets no answer, or an outdated one, polls the store itself.
 """
 
 import asyncio
@@ -24,14 +23,15 @@
 )
 
 ANSWER_MARGIN_SECONDS = 0.3
-"""For the way of an answer, beyond the time for which a question waits."""
+"""Time for the transfer of a feeder's answer, added to the time for which the feeder
+may wait for a change."""
 
 FEEDER_BACKOFF_SECONDS = 2.0
-"""After a host gave no usable answer, until it is asked again."""
+"""Time for which the store is polled after the feeder gave no usable answer."""
 
 
 class PeerFedStore:
-    """Follows tables through another host where there is one for it.
+    """Store client that gets changes of tables from a feeder, if there is one.
 
     Parameters
     ----------
@@ -53,10 +53,10 @@
     async def changes(
         self, table: str, after: int, wait_seconds: float
     ) -> Rows | HistoryLost | Unavailable:
-        """Return what changed after a version, waiting until something does.
+        """Return what changed after a version; wait for a change if there is none yet.
 
-        A question that doesn't wait goes to the store: whoever asks it has reason to
-        think that others know more.
+        A call with ``wait_seconds`` of 0 goes to the store: the caller then has reason
+        to assume that other hosts know newer changes.
         """
         feeder = self._fleet.feeder()
         now = asyncio.get_running_loop().time()
@@ -72,5 +72,5 @@
         return await self._store.changes(table, after, 0.0)
 
     def reconnect(self) -> None:
-        """Make the next calls on new connections."""
+        """Open new connections to the store for the next calls."""
         self._store.reconnect()
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_relayed_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_relayed_store.py
@@ -1,17 +1,18 @@
-"""The shared store, directly or through another host.
+"""Store client that calls the store directly, or through another host as a relay.
 
-Load pattern: the store turns single hosts away, or a cut keeps them from it, while it
-serves the others.
+The store may reject individual hosts, or a network partition may separate them from it,
+while it serves the other hosts. Without relays such a host would refuse every new
+program and every turn that continues a turn of another host, although the rest of the
+fleet works normally.
 
-Without it: such a host would refuse every new program and every turn that goes on
-from another host's, though the rest of the fleet is well.
+A store that throttles a call is available. Throttled calls are retried after a short
+backoff, and relayed only through hosts that the store does not throttle. If throttling
+were treated as an outage, every host would probe and relay, which would add to the load
+on the store.
 
-A store that turns a call away as one too many is there: calls wait a little and are
-made again, through another host only while the store has room for that one. Taken for
-an outage, it would have every host probe and relay, and so be asked even more.
-
-Grounds: a transaction that is sent twice takes effect once: writes are under a
-condition that the first one ends, or write the same bytes again.
+A call may be sent twice, because a transaction that is sent twice takes effect once: a
+write either has a condition that no longer holds after the first one, or writes the
+same bytes again.
 """
 
 import asyncio
@@ -40,57 +41,62 @@
 from swifttide_daemon.telemetry import EventLog
 
 HEDGE_DELAY_SECONDS = 0.2
-"""A call without an answer is made once more after so long, on a new connection and
-then through another host: fifteen times what one takes. Its answer may be lost, or its
-connection silent."""
+"""Time after which a call without an answer is sent again, first on a new connection
+and then through another host. It is fifteen times the usual duration of a call. The
+answer may have been lost, or the connection may be dead."""
 
 CALL_TIMEOUT_SECONDS = 1.0
-"""Time for a call by all ways together, while the store is well."""
+"""Timeout for all attempts of a call together, while the store works normally."""
 
 HEDGE_LATENCY_FACTOR = 1.5
-"""The next way is tried after so many times what calls take of late. A store that is
-slow answers all the same; calls made twice would only make it slower."""
+"""Multiple of the recent call latency after which the next attempt starts, if that is
+later than `HEDGE_DELAY_SECONDS`. A slow store still answers, and duplicate calls would
+slow it down further."""
 
 TIMEOUT_LATENCY_FACTOR = 3.0
-"""Likewise for the end of a call."""
+"""Multiple of the recent call latency after which a call times out, if that is later
+than `CALL_TIMEOUT_SECONDS`."""
 
 MAX_CALL_TIMEOUT_SECONDS = 2.0
-"""Longest call: who waits for it leaves after two seconds without an event."""
+"""Upper limit of the timeout of a call: callers disconnect after two seconds without an
+event."""
 
 LATENCY_DECAY_WEIGHT = 0.2
-"""Weight of a call that was quicker than usual; a slower one counts at once."""
+"""Weight of a new latency sample that is below the recent latency. A sample above it
+replaces the recent latency at once."""
 
 PROBE_INTERVAL_SECONDS = 0.2
-"""Between questions to a store that didn't answer."""
+"""Mean time between probes of a store that did not answer."""
 
 PROBE_TABLE = "fleet"
 PROBE_KEY = "probe"
-"""A row that doesn't exist: the answer tells that the store is there."""
+"""Table and key of a row that does not exist. Any answer to a read of it shows that the
+store is available."""
 
 PROBE_TIMEOUT_SECONDS = 0.4
-"""Time for a probe: a hundred times what it takes while the store is well, and more
-than it takes while the store is slow."""
+"""Timeout of a probe. It is a hundred times the duration of a probe while the store
+works normally, and longer than a probe takes while the store is slow."""
 
 THROTTLED_SECONDS = 0.5
-"""So long after a call was turned away the store counts as full for this host: as long
-as the waiting that it takes on in one part."""
+"""Time after a throttled call for which the store counts as throttling this host. It
+equals the longest queueing delay that the store accepts in one part."""
 
 MIN_THROTTLE_BACKOFF_SECONDS = 0.05
-"""First pause after a call was turned away; doubled each time, and drawn from half of
-it to all of it, so that hosts don't come back at once."""
+"""First backoff after a throttled call. It doubles each time. The actual delay is drawn
+at random between half of it and all of it, so that hosts do not retry at once."""
 
 MAX_THROTTLE_BACKOFF_SECONDS = 0.2
-"""Longest such pause: a fifth of a call's time."""
+"""Upper limit of the backoff: a fifth of the timeout of a call."""
 
 MAX_RELAY_PEERS = 2
-"""Hosts that are asked to relay one call."""
+"""Upper limit of hosts that are asked to relay one call."""
 
 RELAY_TIMEOUT_SECONDS = 1.0
-"""Time for a relayed call: the store's own and the way there and back."""
+"""Timeout of a relayed call, for the store's own time and the transfer."""
 
 
 class RelayedStore:
-    """Reaches the store as long as one host that is heard reaches it.
+    """Store client that works as long as this host or any heard host reaches the store.
 
     Parameters
     ----------
@@ -99,6 +105,11 @@
     peers : PeerClient
     metrics : GatewayMetrics
     log : EventLog
+
+    Attributes
+    ----------
+    direct_up : bool
+        Whether this host reaches the store directly.
     """
 
     def __init__(
@@ -122,14 +133,14 @@
     async def commit(
         self, tx: Transaction, homes: Homes = None
     ) -> Applied | Conflict | Unavailable:
-        """Apply a transaction; only hosts in these regions may carry it."""
+        """Apply a transaction; only hosts in these regions may relay it."""
         relayed = RelayCommit(tx)
         return await self._hedged_call(lambda: self._direct.commit(tx), relayed, homes)
 
     async def read(
         self, table: str, part: str, start: str = "", end: str = "", homes: Homes = None
     ) -> Rows | Unavailable:
-        """Read the rows of a part; only hosts in these regions may carry them."""
+        """Read the rows of a part; only hosts in these regions may relay them."""
         relayed = RelayRead(table, part, start, end)
 
         def call():
@@ -137,7 +148,7 @@
 
         if start or end:
             return await self._hedged_call(call, relayed, homes)
-        # A whole part may be large: read twice at a time it would take twice as long.
+        # A whole part may be large: two concurrent reads would take twice as long.
         return await self._direct_then_relay(
             call, relayed, RELAY_TIMEOUT_SECONDS, homes
         )
@@ -145,11 +156,11 @@
     async def changes(
         self, table: str, after: int, wait_seconds: float
     ) -> Rows | HistoryLost | Unavailable:
-        """Wait for changes.
+        """Return what changed after a version; wait for a change if there is none.
 
-        A host that the store turns away, or doesn't answer, learns of them through
-        another one: it would serve by an old configuration otherwise, and use keys and
-        targets that are no longer to be used.
+        If the store rejects this host or does not answer it, the call is relayed.
+        Otherwise the host would continue with an old configuration, and accept keys and
+        use targets that have been withdrawn.
         """
         return await self._direct_then_relay(
             lambda: self._direct.changes(table, after, wait_seconds),
@@ -158,8 +169,8 @@
         )
 
     async def _direct_then_relay(self, call, relayed, seconds, homes=None):
-        """Ask the store or, where it doesn't answer this host, another host."""
-        outcome = Unavailable("out of reach")
+        """Call the store and, if it does not answer this host, use a relay."""
+        outcome = Unavailable("store unreachable from this host")
         if self.direct_up:
             outcome = await call()
             if not isinstance(outcome, Unavailable):
@@ -172,34 +183,35 @@
 
     @property
     def is_throttled(self) -> bool:
-        """Whether the store has turned calls of this host away lately as too many."""
+        """Whether the store has recently throttled calls of this host."""
         return (
             asyncio.get_running_loop().time() - self._throttled_at < THROTTLED_SECONDS
         )
 
     @property
     def is_probing(self) -> bool:
-        """Whether it is being found out if the store is there."""
+        """Whether a probe of the store is in progress."""
         return self._probe is not None and not self._probe.done()
 
     @property
     def is_reachable(self) -> bool:
-        """Whether this host or one that it hears reaches the store."""
+        """Whether this host or a heard host reaches the store."""
         return self.direct_up or bool(self._fleet.peers_reaching_store())
 
     def reconnect(self) -> None:
-        """Make the next calls on new connections.
+        """Open new connections for the next calls, and probe the store.
 
-        Whoever asks for that has waited in vain. If the store is silent, and not only
-        the connection, calls go through other hosts as soon as that is found out.
+        The caller has not got an answer in time. If the probe shows that the store
+        itself does not answer, and not only the connection, calls are relayed.
         """
         self._direct.reconnect()
         self._start_probe(Unavailable("no answer yet"))
 
     async def _hedged_call(self, call, relayed, homes):
         if not self.is_reachable:
-            # Known to be down: fail at once, rather than let callers wait in vain.
-            return Unavailable("out of reach")
+            # The store is known to be unreachable: fail at once, so that callers do not
+            # wait for the timeout.
+            return Unavailable("store unreachable from all hosts")
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
@@ -219,27 +231,29 @@
         return outcome
 
     def _record_latency(self, seconds):
-        faded = (
+        decayed = (
             self._recent_latency_seconds
             + (seconds - self._recent_latency_seconds) * LATENCY_DECAY_WEIGHT
         )
-        self._recent_latency_seconds = max(seconds, faded)
+        self._recent_latency_seconds = max(seconds, decayed)
 
     async def _run_attempts(self, call, relayed, homes):
-        """Try one way after the other, not waiting long for any; take the first answer.
+        """Start one attempt after the other and return the first answer.
 
-        All ways may carry a transaction out: it takes effect once.
+        An attempt that has not answered after the hedge delay keeps running while the
+        next one starts. Several attempts may carry out a transaction, which takes
+        effect only once.
         """
-        ways = self._attempts(call, relayed, homes)
+        attempts = self._attempts(call, relayed, homes)
         pause = MIN_THROTTLE_BACKOFF_SECONDS
         pending: set[asyncio.Task] = set()
-        outcome = Unavailable("no way to the store")
+        outcome = Unavailable("no connection or relay to the store")
         try:
-            while ways or pending:
-                if ways:
-                    pending.add(asyncio.ensure_future(ways.pop(0)()))
+            while attempts or pending:
+                if attempts:
+                    pending.add(asyncio.ensure_future(attempts.pop(0)()))
                 usual = HEDGE_LATENCY_FACTOR * self._recent_latency_seconds
-                wait = max(HEDGE_DELAY_SECONDS, usual) if ways else None
+                wait = max(HEDGE_DELAY_SECONDS, usual) if attempts else None
                 done, pending = await asyncio.wait(
                     pending, timeout=wait, return_when=asyncio.FIRST_COMPLETED
                 )
@@ -253,13 +267,13 @@
                     self._record_throttling(relayed)
                     await asyncio.sleep(pause * random.uniform(0.5, 1.0))
                     pause = min(2.0 * pause, MAX_THROTTLE_BACKOFF_SECONDS)
-                    if not ways:
-                        # Until the call's time is over: there is no other way.
-                        ways.append(call)
+                    if not attempts:
+                        # No other route is left: retry until the call times out.
+                        attempts.append(call)
                 if not done:
-                    # The connection may have gone silent: the next try opens another.
-                    # Or the store has, which a short question tells sooner than the
-                    # end of this call's time.
+                    # If the connection is dead, the next attempt opens a new one. If
+                    # the store does not answer at all, a short probe shows that before
+                    # this call times out.
                     self._direct.reconnect()
                     self._start_probe(Unavailable("no answer yet"))
             return outcome
@@ -268,14 +282,14 @@
                 task.cancel()
 
     def _attempts(self, call, relayed, homes):
-        """Return how the store may be reached, the likeliest way first."""
+        """Return the attempts of a call, those most likely to succeed first."""
         direct = [call, call] if self.direct_up else []
         relays = [
             functools.partial(self._ask_peer, peer, relayed)
             for peer in self._fleet.relay_candidates(homes)[:MAX_RELAY_PEERS]
         ]
         if self.is_throttled:
-            # It may turn only some hosts away.
+            # The store may throttle only some hosts, so a relay goes first.
             return relays[:1] + direct[:1] + relays[1:]
         return direct + relays
 
@@ -303,12 +317,12 @@
         return outcome
 
     def probe_store(self) -> None:
-        """Find out whether the store is there; other hosts have fallen silent."""
+        """Probe the store, because no beacons arrive from other zones."""
         if self.direct_up:
-            self._start_probe(Unavailable("other zones are silent"))
+            self._start_probe(Unavailable("no beacons from other zones"))
 
     def _start_probe(self, outcome):
-        """Ask the store whether it is there, until it answers."""
+        """Start probing the store, unless a probe is already in progress."""
         if self._probe is None or self._probe.done():
             loop = asyncio.get_running_loop()
             self._probe = loop.create_task(self._probe_until_reachable(outcome.detail))
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_row_reaper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_row_reaper.py
@@ -1,15 +1,13 @@
-"""Removing rows that nobody needs any longer.
+"""Removes expired rows from the store.
 
-Load pattern: each program leaves an account and its turns in the store, where nothing
-expires on its own.
+Each program leaves an account and its turns in the store, where nothing expires on its
+own. Without removal the store fills up, and reads of a part grow without limit.
 
-Without it: the store fills up, and reads of a part grow without end.
-
-Grounds: rows are removed well after the time for which they are kept, in batches of one
-part, a few a second, so that removing costs a small part of what writing them did. A
-row that another host has written since is left to that host: it may still be in use
-there, and an account that is removed too soon would let its program spend its budget
-again.
+Rows are removed well after their retention time. Each batch is one transaction within
+one part, and batches are spaced in time, so that removal costs a small fraction of the
+original writes. A row that another host has written since is left to that host, because
+it may still be in use there: if an account were removed too early, its program could
+spend its budget a second time.
 """
 
 import asyncio
@@ -26,20 +24,22 @@
 from swifttide_daemon.telemetry import EventLog
 
 REMOVAL_MARGIN_SECONDS = 60.0
-"""Beyond the time for which a row is kept: callers' and hosts' clocks may differ."""
+"""Added to the retention time, because the clocks of callers and hosts may differ."""
 
 BATCH_INTERVAL_SECONDS = 1.0
-"""Between batches."""
+"""Time between batches."""
 
 MAX_ROWS_PER_BATCH = 50
-"""Rows of one transaction; the store takes a hundred entries."""
+"""Upper limit of rows per transaction. Each row takes two entries, a condition and a
+removal, and the store accepts a hundred entries."""
 
 MAX_SCHEDULED_ROWS = 100_000
-"""Rows remembered, some 200 bytes each; what is beyond stays in the store."""
+"""Upper limit of rows scheduled for removal, of about 200 bytes of memory each. Further
+rows stay in the store."""
 
 
 class RowReaper:
-    """Removes rows that this host wrote.
+    """Schedules and removes rows that this host has written.
 
     Parameters
     ----------
@@ -55,9 +55,16 @@
         self._latest: dict[RowKey, tuple[float, int]] = {}
 
     def remove_after(self, key: RowKey, version: int, seconds: float) -> None:
-        """Remove a row in some time, if it still has this version then.
+        """Schedule the removal of a row, if it still has the given version by then.
 
         A later call for the same row replaces an earlier one.
+
+        Parameters
+        ----------
+        key : RowKey
+        version : int
+        seconds : float
+            Retention time from now. `REMOVAL_MARGIN_SECONDS` is added to it.
         """
         if len(self._latest) >= MAX_SCHEDULED_ROWS and key not in self._latest:
             self._log.warning("row_not_remembered", table=key.table)
@@ -68,7 +75,7 @@
         heapq.heappush(self._due, (due, self._n_added, key))
 
     async def run(self) -> None:
-        """Remove what is due until cancelled."""
+        """Remove rows that are due, in batches, until cancelled."""
         while True:
             await asyncio.sleep(BATCH_INTERVAL_SECONDS)
             batch = self._next_batch()
@@ -76,7 +83,7 @@
                 await self._remove(batch)
 
     def _next_batch(self) -> dict[RowKey, int]:
-        """Return rows of one part that are due, with their versions."""
+        """Return due rows of one part with their versions; empty if none is due."""
         now = asyncio.get_running_loop().time()
         batch: dict[RowKey, int] = {}
         others = []
@@ -99,7 +106,11 @@
         return batch
 
     async def _remove(self, batch):
-        """Remove rows together; those that changed are left, the rest tried again."""
+        """Remove rows in one transaction.
+
+        After a conflict, rows that have changed are left alone, and the others are
+        scheduled again.
+        """
         tx = Transaction(
             conditions=tuple(Condition(k, v) for k, v in batch.items()),
             removes=tuple(batch),
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_shared_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_shared_store.py
@@ -1,4 +1,4 @@
-"""The store that all hosts share, as the gateway uses it."""
+"""Interface of the store that all hosts share: rows, transactions and results."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -6,13 +6,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RowKey:
-    """Where a row lies.
+    """Address of a row.
 
     Parameters
     ----------
     table : str
     part : str
-        Rows of one part change together in one transaction; may be empty.
+        Partition of the table; may be empty. Rows of one part can be changed together
+        in one transaction.
     key : str
     """
 
@@ -23,15 +24,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRow:
-    """A row as read.
+    """Row as read from the store.
 
     Parameters
     ----------
     key : RowKey
     value : bytes or None
-        None for a row that was removed, or whose bytes can't be read.
+        None for a row that was removed, or whose bytes are unreadable.
     version : int
-        Grows with each transaction that writes the row.
+        Increases with each transaction that writes the row.
     deleted : bool
         Whether the row was removed.
     """
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """The row must have this version; 0 means that it must not exist."""
+    """Condition that a row has a version; version 0 requires that it does not exist."""
 
     key: RowKey
     version: int
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Write a row."""
+    """Write of a row."""
 
     key: RowKey
     value: bytes
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Changes that take effect together, if all conditions hold.
+    """Changes that are applied atomically if all conditions hold.
 
     Parameters
     ----------
@@ -83,7 +84,7 @@
     version : int
         Version of the rows that were written.
     now_ms : int
-        The store's steady clock.
+        Time of the store's monotonic clock, in milliseconds.
     """
 
     version: int
@@ -92,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A condition failed and nothing changed; the rows as they are."""
+    """A condition failed and nothing was changed; the rows are the current ones."""
 
     rows: tuple[StoredRow, ...]
 
@@ -104,12 +105,12 @@
     Parameters
     ----------
     detail : str
-        For the log.
+        Cause, for the log.
     may_have_applied : bool
         Whether a transaction may have taken effect, or may do so later.
     throttled : bool
-        Whether the store is there and turned the call away as one too many; nothing
-        was done.
+        Whether the store is available but rejected the call because of its rate limit.
+        Nothing was done.
     """
 
     detail: str
@@ -119,16 +120,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Rows:
-    """Rows as of one moment.
+    """Consistent snapshot of rows.
 
     Parameters
     ----------
     rows : tuple of StoredRow
     version : int
+        Version of the store as of the snapshot.
     now_ms : int
-        The store's steady clock.
+        Time of the store's monotonic clock, in milliseconds.
     age_seconds : float
-        Since the store said so, where another host passed them on.
+        Time since the store gave the answer, if another host forwarded it.
     """
 
     rows: tuple[StoredRow, ...]
@@ -139,11 +141,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """The changes asked for are no longer known; the table must be read again."""
+    """The requested changes are no longer retained; the table must be read again."""
 
 
 class SharedStore(Protocol):
-    """Linearizable rows with conditional transactions."""
+    """Linearizable row store with conditional transactions."""
 
     async def commit(self, tx: Transaction) -> Applied | Conflict | Unavailable:
         """Apply a transaction."""
@@ -156,7 +158,7 @@
     async def changes(
         self, table: str, after: int, wait_seconds: float
     ) -> Rows | HistoryLost | Unavailable:
-        """Return what changed after a version, waiting until something does."""
+        """Return what changed after a version; wait for a change if there is none."""
 
     def reconnect(self) -> None:
-        """Make the next calls on new connections."""
+        """Open new connections for the next calls."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_table_watch.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_table_watch.py
@@ -1,4 +1,4 @@
-"""Following a table of the store."""
+"""Follows a table of the store: keeps a copy of its rows and reports changes."""
 
 import asyncio
 import random
@@ -14,56 +14,57 @@
 from swifttide_daemon.telemetry import EventLog
 
 LONG_POLL_SECONDS = 2.0
-"""How long one question for changes waits. A store that has fallen silent is noticed
-a second later; each question costs a call."""
+"""Time for which one poll waits for changes at the store. A store that stops answering
+is detected a second later. A shorter time would cost more calls."""
 
 POLL_PAUSE_SECONDS = 0.1
-"""Pause after changes of a table that seldom changes."""
+"""Pause between polls that return changes, for a table that seldom changes."""
 
 BUSY_TABLE_POLL_PAUSE_SECONDS = 0.8
-"""Pause for a table in which rows are renewed all the time: what it brings may be known
-2 s late, a slow store takes 0.3 s, and other hosts' beacons tell sooner when there is
-something new. With 0.1 s, 69 hosts made 21,800 calls in half a minute."""
+"""Pause between polls for a table in which rows are renewed all the time. Its changes
+may be 2 s late, a slow store takes 0.3 s, and beacons of other hosts announce relevant
+changes sooner. With a pause of 0.1 s, 69 hosts made 21,800 calls in half a minute."""
 
 STALE_POLL_SECONDS = 0.4
-"""An answer this old may lie on a silent connection, when others know more by now;
-beacons and the store's own way take less."""
+"""Time without an answer after which the connection counts as dead if another host
+knows a newer change. A beacon and the store's own answer take less time."""
 
 MAX_FORWARDED_AGE_SECONDS = 3.5
-"""What is passed on to other hosts is no older: a question's whole wait, a pause and
-the store's own time."""
+"""Upper limit of the age of rows that are forwarded to other hosts: the full wait of a
+poll, a pause between polls and the store's own time."""
 
 MAX_REMEMBERED_REMOVALS = 500
-"""Rows remembered as removed for hosts that ask what changed, some 200 bytes each."""
+"""Upper limit of removed rows that are remembered for hosts that poll this one, of
+about 200 bytes each."""
 
 RETRY_DELAY_RANGE_SECONDS = (0.1, 0.3)
-"""Pause after a failure, drawn anew each time so that hosts don't come at once."""
+"""Range of the random delay after a failure, so that hosts do not retry at once."""
 
 
 class TableWatch:
-    """Reads the rows of a table's empty part, then what changes.
+    """Reads the rows of a table's empty part, then polls for changes.
 
     Parameters
     ----------
     store : SharedStore
     table : str
     on_all : callable
-        Takes all rows; those missing have been removed.
+        Takes all rows; rows that are not among them have been removed.
     on_change : callable
-        Takes rows that were written or removed; returns the version of the newest one
-        that was news to this host, 0 if none was.
+        Takes rows that were written or removed. Returns the newest version among the
+        rows that changed this host's view, or 0 if they were mere renewals.
     on_state : callable
         Takes whether the store answered.
     find_copy : callable
-        Returns the rows that another host knows, or None.
+        Takes the table name; returns the copy of its rows from another host, or None.
     log : EventLog
     pause_seconds : float
-        Between questions for changes, while there are some.
+        Pause after a poll that was answered.
 
     Attributes
     ----------
     newest_change : int
-        Version of the newest row that was news to this host.
+        Version of the newest row that changed this host's view.
     """
 
     def __init__(
@@ -102,8 +103,8 @@
         await self._read_all()
         was_behind = False
         while True:
-            # After a failure, ask for an answer at once: it tells that the store is
-            # back, which a question that waits would only tell when it ends.
+            # After a failure, poll without waiting: an immediate answer shows that the
+            # store is back, whereas a long poll would only show it at its end.
             wait = LONG_POLL_SECONDS if self._up and not was_behind else 0.0
             outcome = await self._poll_changes(wait)
             was_behind = outcome is None
@@ -115,7 +116,7 @@
                     self._apply_changes(found)
                     await self._pause()
                 case HistoryLost():
-                    # Changes were missed, removals among them: read all again.
+                    # Changes were missed, possibly removals: read all rows again.
                     self._log.warning("store_history_lost", table=self._table)
                     await self._read_all()
                 case Unavailable(detail):
@@ -123,11 +124,15 @@
                     await asyncio.sleep(random.uniform(*RETRY_DELAY_RANGE_SECONDS))
 
     def on_peer_change(self, change: int) -> None:
-        """Note that another host knows a change.
+        """Record the newest change that another host knows, and poll again if needed.
 
-        A connection can go silent without a reset. The question that waits on it for
-        changes would tell so only when its time is over, and this host would act on
-        an old configuration until then.
+        A connection can die without a reset. A long poll on it would only fail at its
+        timeout, and this host would use an old configuration until then.
+
+        Parameters
+        ----------
+        change : int
+            Version of the change, as stated in a beacon.
         """
         if change <= self._version:
             return
@@ -136,7 +141,7 @@
             self._peer_ahead.set()
 
     async def _pause(self):
-        """Let changes gather, unless another host knows one that was news to it."""
+        """Let changes accumulate; end early if another host knows a newer change."""
         self._peer_ahead.clear()
         self._is_pausing = True
         try:
@@ -148,10 +153,11 @@
             self._is_pausing = False
 
     async def _poll_changes(self, wait) -> Rows | HistoryLost | Unavailable | None:
-        """Ask for changes; None when another host was heard to know more."""
+        """Poll for changes; None if aborted because another host knows a newer one."""
         if not wait:
-            # The answer comes at once, or has begun to: a large one takes longer than
-            # the pause between beacons, and given up each time it would never arrive.
+            # The answer arrives at once or is being transferred. A large answer takes
+            # longer than the interval between beacons. If each beacon aborted it, it
+            # would never arrive.
             found = await self._store.changes(self._table, self._version, wait)
             self._answered_at = asyncio.get_running_loop().time()
             return found
@@ -174,7 +180,7 @@
             behind.cancel()
 
     def copy(self) -> Rows | None:
-        """Return the rows as this host knows them, None before it knows any."""
+        """Return this host's copy of the rows, or None if it has none yet."""
         if self._rows is None:
             return None
         return Rows(tuple(self._rows.values()), self._version, 0)
@@ -182,9 +188,10 @@
     async def changes_after(
         self, after: int, wait_seconds: float
     ) -> Rows | HistoryLost | Unavailable:
-        """Return what changed after a version, for another host.
+        """Return what changed after a version, on behalf of another host.
 
-        Waits until there are news; renewals alone are told when the wait is over.
+        Waits for a change of this host's view. Mere renewals of rows do not end the
+        wait, and are returned when it is over.
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + wait_seconds
@@ -196,7 +203,7 @@
                 break
         age = loop.time() - self._current_as_of
         if self._rows is None or age > MAX_FORWARDED_AGE_SECONDS:
-            return Unavailable("not up to date")
+            return Unavailable("copy of the table is outdated")
         if after < self._complete_from:
             return HistoryLost()
         found = [*self._rows.values(), *self._removed.values()]
@@ -220,10 +227,10 @@
                     await asyncio.sleep(random.uniform(*RETRY_DELAY_RANGE_SECONDS))
 
     async def _load_peer_copy(self):
-        """Begin with what another host knows.
+        """Start with the copy of another host, if this host has no rows yet.
 
-        A host that starts while the store is away would otherwise serve nothing
-        until its return, though all others go on.
+        Otherwise a host that starts during a store outage could not serve any request
+        until the store is back, although all other hosts can.
         """
         if self._rows is not None:
             return
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_table_watches.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_table_watches.py
@@ -1,4 +1,4 @@
-"""The tables that a host follows."""
+"""Sets up the watches for the store tables that each host follows."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -19,13 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TableWatches:
-    """What follows configuration, targets and hosts.
+    """Watches of the tables with configuration, targets and hosts.
 
     Parameters
     ----------
     config, targets, hosts : TableWatch
     tables : dict of str to TableWatch
-        The same by the names of their tables.
+        The same watches by table name.
     """
 
     config: TableWatch
@@ -44,22 +44,22 @@
         find_copy: Callable[[str], Awaitable[Rows | None]],
         log: EventLog,
     ) -> "TableWatches":
-        """Return the feeds of one host.
+        """Return the watches of one host.
 
         Parameters
         ----------
         store : RelayedStore
-            Where the configuration is read by each host: a large one would fill the
-            link of a host that passes it on.
-        passed : PassedFeed
-            Where targets and hosts are followed: rows that are renewed all the time.
+            Used for the configuration. Each host reads it from the store, because a
+            large configuration would saturate the link of a host that forwards it.
+        peer_fed_store : PeerFedStore
+            Used for targets and hosts, whose rows are renewed all the time.
         decoders : Decoders
         operator_feed : OperatorFeed
-            Takes the operator's rows.
-        feed : RowFeed
-            Takes the others.
+            Gets the rows of the operator's table.
+        membership_feed : MembershipFeed
+            Gets the rows of targets and hosts.
         find_copy : callable
-            Returns the rows of a table that another host knows, or None.
+            Takes a table name; returns the copy of its rows from another host, or None.
         log : EventLog
         """
         config = TableWatch(
@@ -99,13 +99,13 @@
         return cls(config, targets, hosts, tables)
 
     def all(self) -> tuple[TableWatch, ...]:
-        """Return all that has to run."""
+        """Return all watches, each of which has to be run as a task."""
         return self.config, self.targets, self.hosts
 
     def watch_of(self, table: str) -> TableWatch | None:
-        """Return what follows a table, None where nothing does."""
+        """Return the watch of a table, or None if the table is not followed."""
         return self.by_table.get(table)
 
 
 def _ignore_state(up: bool) -> None:
-    """Take whether the store answered, where that is of no use."""
+    """Ignore the state of the store: one watch is enough to report it."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/conftest.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A shared store in memory, with the faults of a real one."""
+"""Test fixtures: a log, and an in-memory shared store that simulates faults."""
 
 import asyncio
 import logging
@@ -21,21 +21,24 @@
 
 
 class FakeStore:
-    """A store on `MemoryRows`.
+    """Shared store on `MemoryRows` with switchable faults.
 
     Attributes
     ----------
     down : bool
-        No call is carried out while set.
+        Whether all calls fail.
     hangs : bool
-        Reads get no answer for a long time while set.
+        Whether reads get no answer for `HANG_DURATION_SECONDS` and then fail.
     away_tables : set of str
-        Tables for which no call is carried out.
+        Tables for which all commits and reads fail.
     lose : int
-        Commits to come whose answers are lost.
+        Number of next commits that are applied although their answers are lost.
+    delay : bool
+        Whether commits are put into `late` instead of being applied.
     late : list
-        Transactions that take effect when `deliver_late` is called; commits go there
-        while `delay` is set.
+        Transactions that take effect when `deliver_late` is called.
+    n_calls : int
+        Number of calls so far.
     """
 
     def __init__(self):
@@ -66,7 +69,7 @@
         return outcome
 
     def deliver_late(self):
-        """Carry out what was delayed."""
+        """Apply the delayed transactions."""
         for tx in self.late:
             self._apply(tx)
         self.late.clear()
@@ -124,7 +127,7 @@
 
 
 def row_place(key):
-    """Return a key as `MemoryRows` has it."""
+    """Return a key as the tuple that `MemoryRows` uses."""
     return (key.table, key.part, key.key)
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_passed_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_passed_feed.py
@@ -1,4 +1,4 @@
-"""Changes that hosts pass on to each other."""
+"""Tests of hosts that follow a table through other hosts."""
 
 import asyncio
 
@@ -18,12 +18,12 @@
 
 
 class FollowingHosts:
-    """Hosts of two zones that follow one table.
+    """Hosts of two zones that follow one table; also their peer client.
 
     Attributes
     ----------
     frozen : set of str
-        Hosts that answer no calls.
+        IP addresses of hosts that do not answer calls.
     """
 
     def __init__(self, store, log, n_hosts):
@@ -57,7 +57,7 @@
         )
 
     async def call(self, peer, request, seconds):
-        """Answer as the host would, if it can."""
+        """Answer a call as the peer would, unless it is frozen."""
         if peer.ip in self.frozen:
             await asyncio.sleep(seconds)
             return None
@@ -88,9 +88,9 @@
     return run
 
 
-class TestPassedFeed:
-    def test_calls_dont_grow_with_hosts(self, run_scenario, store):
-        """Guards against calls that grow with the hosts that follow a table."""
+class TestPeerFedStore:
+    def test_store_calls_do_not_grow_with_the_fleet(self, run_scenario, store):
+        """Guards against store calls in proportion to the hosts that follow a table."""
 
         async def scenario(hosts):
             before = store.n_calls
@@ -102,7 +102,7 @@
         n_feeders = 2 * FEEDERS_PER_ZONE
         assert run_scenario(scenario) <= 20.0 / 0.8 * n_feeders * 1.2
 
-    def test_small_fleet_asks_the_store(self, run_scenario):
+    def test_small_fleet_has_no_feeders(self, run_scenario):
         async def scenario(hosts):
             return [fleet.feeder() for fleet in hosts.fleets.values()]
 
@@ -111,7 +111,7 @@
             == [None] * MIN_PEERS_FOR_FEEDERS
         )
 
-    def test_news_reach_all_hosts_soon(self, run_scenario, store):
+    def test_change_reaches_all_hosts_within_a_second(self, run_scenario, store):
         async def scenario(hosts):
             store.rows.put("t", "a", b"2")
             await asyncio.sleep(1.0)
@@ -119,7 +119,7 @@
 
         assert run_scenario(scenario) == {b"2"}
 
-    def test_removals_are_passed_on(self, run_scenario, store):
+    def test_removals_are_forwarded(self, run_scenario, store):
         async def scenario(hosts):
             store.rows.remove("t", "a")
             await asyncio.sleep(1.0)
@@ -127,8 +127,8 @@
 
         assert run_scenario(scenario) == {None}
 
-    def test_frozen_feeder_is_passed_over(self, run_scenario, store):
-        """Guards against old beliefs while the hosts that ask the store freeze."""
+    def test_frozen_feeder_is_bypassed(self, run_scenario, store):
+        """Guards against outdated copies while the hosts that poll the store hang."""
 
         async def scenario(hosts):
             hosts.frozen = {
@@ -140,8 +140,10 @@
 
         assert run_scenario(scenario) == {b"2"}
 
-    def test_hosts_that_ask_each_other_find_out(self, run_scenario, store):
-        """Guards against two hosts that tell each other that nothing has changed."""
+    def test_hosts_that_poll_each_other_detect_outdated_copies(
+        self, run_scenario, store
+    ):
+        """Guards against two hosts that report to each other that nothing changed."""
 
         async def scenario(hosts):
             one, two = hosts.peers[20], hosts.peers[22]
@@ -154,7 +156,7 @@
 
         assert run_scenario(scenario) == (b"2", b"2")
 
-    def test_feeder_that_lost_the_store_says_so(self, run_scenario, store):
+    def test_feeder_without_the_store_reports_unavailable(self, run_scenario, store):
         async def scenario(hosts):
             store.down = True
             await asyncio.sleep(5.0)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_relayed_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_relayed_store.py
@@ -1,4 +1,4 @@
-"""Reaching the store through another host."""
+"""Tests of reaching the store through another host."""
 
 import asyncio
 
@@ -30,7 +30,7 @@
 
 
 class RelayPeers:
-    """A host that reaches the store."""
+    """Peer client whose only host reaches the store and relays calls to it."""
 
     def __init__(self, store):
         self.store = store
@@ -49,7 +49,7 @@
 
 
 class RefusingStore:
-    """A store that turns this host away: with an answer, silence, or as too many."""
+    """Store that rejects this host: with an error, no answer, or by throttling."""
 
     def __init__(self, silent, throttled=False):
         self.silent = silent
@@ -85,7 +85,7 @@
 
 
 class ThrottlingStore:
-    """A store that takes some calls a second and turns the others away."""
+    """Store that accepts a number of calls per second and throttles the others."""
 
     def __init__(self, store, per_second):
         self._store = store
@@ -117,11 +117,14 @@
         pass
 
 
-class TestFullStore:
-    """The store takes a tenth of the usual calls and turns the rest away."""
+class TestThrottlingStore:
+    """The store accepts a tenth of the usual calls and throttles the rest."""
 
-    def test_is_no_outage(self, store, log):
-        """Callers would be refused, and hosts would probe and relay all the more."""
+    def test_throttling_is_not_an_outage(self, store, log):
+        """Guards against throttling that is mistaken for an outage.
+
+        Callers would then be refused, and hosts would add load by probes and relays.
+        """
 
         async def main():
             full = ThrottlingStore(store, 20)
@@ -135,9 +138,11 @@
         assert all(isinstance(outcome, Applied) for outcome in outcomes)
         assert n_calls <= 36
 
-    def test_watch_asks_no_host_that_is_turned_away_too(self, store, log):
-        """The store takes too few calls for all hosts. Asked for each other, they would
-        only add to them.
+    def test_changes_are_not_relayed_through_throttled_hosts(self, store, log):
+        """Guards against additional load on a store that throttles all hosts.
+
+        The store accepts too few calls for all hosts, and relaying them would only add
+        further calls.
         """
 
         async def main():
@@ -151,10 +156,10 @@
         assert isinstance(outcome, Unavailable)
         assert (n_relayed, up) == (0, True)
 
-    def test_watch_asks_one_host_for_which_there_is_room(self, store, log):
-        """The store turns this host away as one too many, and not another one.
+    def test_changes_are_relayed_once_through_an_unthrottled_host(self, store, log):
+        """The store throttles this host but not another one.
 
-        One question goes through that host, and no probes beside it.
+        One call is relayed through the other host, without any probes.
         """
 
         async def main():
@@ -169,8 +174,8 @@
         assert isinstance(outcome, Rows)
         assert (n_relayed, n_direct, up) == (1, 2, True)
 
-    def test_only_some_hosts_are_turned_away(self, store, log):
-        """The store turns this host away and serves the others."""
+    def test_commits_are_relayed_while_only_this_host_is_throttled(self, store, log):
+        """The store throttles this host and serves the others."""
 
         async def main():
             found, _ = relayed_store(ThrottlingStore(store, 0.0), store, log)
@@ -186,7 +191,7 @@
 
 
 class TestRelay:
-    def test_host_that_is_turned_away_asks_another(self, store, log):
+    def test_rejected_host_commits_through_another_host(self, store, log):
         async def main():
             found, _ = relayed_store(RefusingStore(False), store, log)
             return await found.commit(TX), store.rows.rows
@@ -195,10 +200,11 @@
         assert isinstance(outcome, Applied)
         assert rows[("t", "", "k")].value == b"v"
 
-    def test_fails_at_once_while_nobody_reaches_it(self, store, log):
-        """The store is down for all, and doesn't answer.
+    def test_commit_fails_at_once_while_no_host_reaches_the_store(self, store, log):
+        """Guards against calls that wait for a store known to be down.
 
-        Each request would otherwise wait most of its time before it is refused.
+        The store does not answer any host. Each request would otherwise wait for most
+        of its time before it is refused.
         """
 
         async def main():
@@ -214,10 +220,11 @@
         assert isinstance(outcome, Unavailable)
         assert seconds == 0.0
 
-    def test_silence_is_noticed_before_the_first_call_has_failed(self, store, log):
-        """The store falls silent: it takes connections and never answers.
+    def test_hanging_store_is_detected_before_the_first_call_fails(self, store, log):
+        """Guards against late detection of a store that accepts connections but hangs.
 
-        Until that is known callers wait for their whole time, and nothing is lent.
+        Until it is detected, callers wait for their full timeout, and hosts do not lend
+        tokens.
         """
 
         async def main():
@@ -231,7 +238,7 @@
 
         assert run_paused(main()) == (False, False)
 
-    def test_notices_that_the_store_is_back(self, store, log):
+    def test_recovery_of_the_store_is_detected(self, store, log):
         async def main():
             store.down = True
             found, _ = relayed_store(store, store, log, helped=False)
@@ -247,10 +254,10 @@
         assert isinstance(rows, Rows)
 
     def test_lost_answer_costs_a_quarter_of_a_second(self, store, log):
-        """The store writes a row and its answer is lost.
+        """Guards against waiting for the full timeout after a lost answer.
 
-        A second call, on a new connection, tells so long before the first one's time
-        is over.
+        The store writes a row and its answer is lost. A second call on a new connection
+        gets the answer long before the first one times out.
         """
 
         async def main():
@@ -265,11 +272,11 @@
         assert isinstance(outcome, Applied)
         assert seconds < 0.3
 
-    def test_slow_store_is_not_asked_twice(self, store, log):
-        """Each answer of the store takes half a second.
+    def test_slow_store_gets_no_duplicate_calls(self, store, log):
+        """Guards against duplicate calls that overload a slow store.
 
-        Calls made twice and three times would slow it down further, and all of them
-        would run out of time.
+        Each answer of the store takes half a second. Duplicate calls would slow it down
+        further, until all calls time out.
         """
 
         async def main():
@@ -291,17 +298,16 @@
         assert n_calls == 10
 
 
-class TestFollowing:
+class TestFollowingThroughRelay:
     @pytest.mark.parametrize(
         ("silent", "throttled"), [(True, False), (False, False), (False, True)]
     )
-    def test_host_that_is_turned_away_learns_of_changes(
-        self, store, log, silent, throttled
-    ):
-        """The store turns one host away, in one way or another, and serves the others.
+    def test_rejected_host_receives_changes(self, store, log, silent, throttled):
+        """Guards against a host that keeps accepting a withdrawn key.
 
-        Its beacons tell it that there is a newer configuration. Callers with a key that
-        was taken away reach this host, and it must not serve them for long.
+        The store rejects one host and serves the others, whose beacons state that there
+        is a newer configuration. Callers with a withdrawn key reach this host, and it
+        must not serve them for long.
         """
 
         async def main():
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_row_reaper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_row_reaper.py
@@ -1,4 +1,4 @@
-"""Removing old rows."""
+"""Tests of the removal of expired rows."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
         store.rows.put("t", f"k{number}", b"v", part)
         reaper.remove_after(key(number, part), store.rows.version, 60.0)
 
-    def test_removes_in_time_and_not_before(self, store, log):
+    def test_removes_rows_after_the_margin_and_not_before(self, store, log):
         async def main():
             reaper = RowReaper(store, log)
             task = asyncio.create_task(reaper.run())
@@ -30,10 +30,11 @@
 
         assert run_paused(main()) == (120, 0)
 
-    def test_row_that_another_host_wrote_since_stays(self, store, log):
-        """Two hosts serve one program; the one that is done removes old rows.
+    def test_row_written_by_another_host_since_is_kept(self, store, log):
+        """Guards against the removal of an account that another host still uses.
 
-        Removing the account would let the program spend its budget again.
+        Two hosts serve one program, and one of them removes its expired rows. Without
+        the account, the program could spend its budget a second time.
         """
 
         async def main():
@@ -48,7 +49,7 @@
 
         assert run_paused(main()) == ["k1"]
 
-    def test_goes_on_after_an_outage(self, store, log):
+    def test_removal_resumes_after_a_store_outage(self, store, log):
         async def main():
             reaper = RowReaper(store, log)
             task = asyncio.create_task(reaper.run())
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_table_watch.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_table_watch.py
@@ -1,4 +1,4 @@
-"""Following a table."""
+"""Tests of following a table of the store."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 
 class RecordingWatch:
-    """Collects what a watch hands over."""
+    """Table watch with callbacks that record the rows and states it reports."""
 
     def __init__(self, store, log, copy=None, pause_seconds=0.1):
         self.rows = {}
@@ -44,7 +44,7 @@
 
 
 class TestTableWatch:
-    def test_changes_and_removals(self, store, log):
+    def test_changes_and_removals_are_reported(self, store, log):
         async def main():
             store.rows.put("t", "a", b"1")
             seen = RecordingWatch(store, log)
@@ -76,11 +76,11 @@
 
         assert run_paused(main()) == {"b": b"2"}
 
-    def test_start_during_an_outage_takes_another_hosts_rows(self, store, log):
-        """A host is started again while the store is away.
+    def test_start_during_an_outage_uses_a_peer_copy(self, store, log):
+        """Guards against a host that serves nothing after a restart in an outage.
 
-        The others know configuration and targets; until the store is back it serves
-        by what they know, and then follows the store.
+        The host restarts while the store is down. It uses the rows that other hosts
+        know until the store is back, and then follows the store.
         """
 
         async def main():
@@ -99,11 +99,12 @@
 
         assert run_paused(main()) == ({"a": b"1"}, {"a": b"2"})
 
-    def test_silent_connection_is_noticed_by_what_others_know(self, store, log):
-        """The connection that waits for changes has gone silent, without a reset.
+    def test_dead_connection_is_detected_by_newer_peer_changes(self, store, log):
+        """Guards against an outdated configuration during a long poll that is dead.
 
-        Beacons of other hosts name a newer change; the host asks again at once rather
-        than act on its old configuration until the question's time is over.
+        The connection of the long poll dies without a reset. Beacons of other hosts
+        state a newer change, and the host polls again at once instead of waiting for
+        the timeout.
         """
 
         async def main():
@@ -130,9 +131,10 @@
         assert run_paused(main()) == ({"a": b"1"}, {"a": b"2"})
 
     def test_renewed_rows_cost_few_calls(self, store, log):
-        """Thirty targets renew their entries all the time, and each of many hosts
-        follows them. Asked for at each renewal, they would take most of what the store
-        can answer.
+        """Guards against one poll per renewal.
+
+        Thirty targets renew their entries all the time, and many hosts follow them. A
+        poll per renewal would take most of the store's capacity.
         """
 
         async def main():
@@ -148,9 +150,12 @@
         assert n_calls <= 16
         assert newest < 31
 
-    def test_news_of_other_hosts_end_the_pause(self, store, log):
-        """A target begins to drain just after this host has asked for changes; another
-        host knows. Until the pause is over this host would go on sending to it.
+    def test_newer_peer_change_ends_the_pause(self, store, log):
+        """Guards against requests to a target that has begun to drain.
+
+        The target begins to drain just after this host has polled, and another host
+        already knows. Without an early poll this host would send requests to the target
+        until its pause is over.
         """
 
         async def main():
@@ -167,10 +172,12 @@
         assert run_paused(main()) == {"a": b"draining"}
 
     def test_large_answer_on_a_narrow_link_arrives(self, store, log):
-        """The configuration has grown to two thousand routes and takes most of a second
-        to arrive at a host with a narrow link, while beacons of the others go on
-        naming it. Given up at each beacon and asked for again, it would never arrive:
-        the host would serve by its old configuration for good.
+        """Guards against a large answer that is aborted by each beacon.
+
+        A configuration of two thousand routes takes most of a second to arrive over a
+        narrow link, while beacons of other hosts keep stating its version. If each
+        beacon aborted and repeated the poll, the answer would never arrive, and the
+        host would keep its old configuration permanently.
         """
 
         async def main():
