--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_isolation.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_isolation.py
@@ -51,7 +51,7 @@
 
     def update(self) -> None:
         """Check the connectivity again and log a change of the state."""
-        active = self._is_cut_off()
+        active = self._is_isolated()
         if active == self.active:
             return
         self.active = active
@@ -71,7 +71,7 @@
         since = asyncio.get_running_loop().time() - self._since
         return max(MIN_RETRY_SECONDS, BALANCER_REMOVAL_SECONDS - since)
 
-    def _is_cut_off(self):
+    def _is_isolated(self):
         if not self._fleet.is_partitioned(STORE_PROBE_DELAY_SECONDS):
             return False
         self._store.probe_store()
