--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_gateway.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway: its parts, its start and its stop."""
+"""Assembles the components of a gateway, and starts and stops them."""
 
 import asyncio
 import uuid
@@ -6,7 +6,7 @@
 
 from swifttide_core.forwarding import RoutingConfig
 from swifttide_daemon.gateway._beliefs import Beliefs
-from swifttide_daemon.gateway._departure import Departure
+from swifttide_daemon.gateway._graceful_shutdown import GracefulShutdown
 from swifttide_daemon.gateway._metrics import GatewayMetrics
 from swifttide_daemon.gateway._settings import GatewaySettings
 from swifttide_daemon.gateway._settings_change import SettingsChange
@@ -25,11 +25,11 @@
 from swifttide_daemon.gateway.callers._forwarder import Forwarder
 from swifttide_daemon.gateway.callers._frontend import Frontend
 from swifttide_daemon.gateway.callers._program_entry import ProgramEntry
-from swifttide_daemon.gateway.peers._datagrams import Datagrams
+from swifttide_daemon.gateway.peers._beacon_exchange import BeaconExchange
+from swifttide_daemon.gateway.peers._datagrams import PeerDatagrams
 from swifttide_daemon.gateway.peers._fleet import Fleet
-from swifttide_daemon.gateway.peers._isolation import Isolation
+from swifttide_daemon.gateway.peers._isolation import IsolationDetector
 from swifttide_daemon.gateway.peers._keeper_choice import KeeperChoice
-from swifttide_daemon.gateway.peers._news import News
 from swifttide_daemon.gateway.peers._peer import Peer
 from swifttide_daemon.gateway.peers._peer_client import PeerClient
 from swifttide_daemon.gateway.peers._peer_server import PeerServer
@@ -37,13 +37,13 @@
 from swifttide_daemon.gateway.rates._rate_limiter import RateLimiter
 from swifttide_daemon.gateway.rates._share_allocator import MAX_HOLDERS, ShareAllocator
 from swifttide_daemon.gateway.store._decoders import Decoders
+from swifttide_daemon.gateway.store._membership_feed import MembershipFeed
 from swifttide_daemon.gateway.store._operator_feed import OperatorFeed
-from swifttide_daemon.gateway.store._passed_feed import PassedFeed
+from swifttide_daemon.gateway.store._peer_fed_store import PeerFedStore
 from swifttide_daemon.gateway.store._relayed_store import RelayedStore
-from swifttide_daemon.gateway.store._row_feed import RowFeed
 from swifttide_daemon.gateway.store._row_reaper import RowReaper
 from swifttide_daemon.gateway.store._shared_store import SharedStore
-from swifttide_daemon.gateway.store._table_feeds import TableFeeds
+from swifttide_daemon.gateway.store._table_watches import TableWatches
 from swifttide_daemon.gateway.targets._cold_targets import ColdTargets
 from swifttide_daemon.gateway.targets._connection_pool import ConnectionPool
 from swifttide_daemon.gateway.targets._order_keeper import OrderKeeper
@@ -56,12 +56,12 @@
 
 METRICS_PATH = "/metrics"
 
-HOUSEKEEPING_SECONDS = 0.15
-"""Between looks at idle connections, lapsed targets and whether it is cut off."""
+HOUSEKEEPING_INTERVAL_SECONDS = 0.15
+"""Time between checks for idle connections, expired targets and network isolation."""
 
 
 class Gateway:
-    """Forwards requests at one host.
+    """Gateway process of one host, which forwards callers' requests to targets.
 
     Parameters
     ----------
@@ -71,7 +71,7 @@
     dialect : Dialect
     decoders : Decoders
     read_settings : callable
-        Returns the settings as they are now; raises `ValueError`.
+        Returns the current settings; raises `ValueError` if they are invalid.
     log : EventLog
     """
 
@@ -91,12 +91,12 @@
         self._log = log
         self._settings_watch = SettingsWatch(read_settings, self._apply_settings, log)
         self._metrics = GatewayMetrics(cfg.host, cfg.zone)
-        self._watch_targets()
-        self._join_fleet(store)
-        self._follow_store()
-        self._face_callers(dialect)
+        self._build_target_side()
+        self._build_fleet_side(store)
+        self._build_table_watches()
+        self._build_caller_side(dialect)
 
-    def _watch_targets(self):
+    def _build_target_side(self):
         log = self._log
         self._strikes = StrikeKeeper(log)
         self._prober = TargetProber(self._pool, self._strikes.refused, log)
@@ -104,7 +104,7 @@
         cold = ColdTargets(self._cfg.cold_excess, self._cfg.cold_extra, log)
         self.beliefs = Beliefs(self._forget_target, log, self._cfg.regions, cold)
 
-    def _join_fleet(self, direct):
+    def _build_fleet_side(self, direct):
         cfg, log = self._cfg, self._log
         boot = uuid.uuid4().hex[:12]
         own = Peer(cfg.ip, cfg.peer_port, cfg.zone, boot, cfg.cores)
@@ -123,8 +123,8 @@
             log,
         )
         self._peer_server = PeerServer(self._peer_service.answer, log)
-        self._datagrams = Datagrams(self._fleet, log)
-        self._isolation = Isolation(self._fleet, self._store, log)
+        self._datagrams = PeerDatagrams(self._fleet, log)
+        self._isolation = IsolationDetector(self._fleet, self._store, log)
         self._rates = RateLimiter(
             self._fleet,
             lambda: self._shares.holders(),
@@ -135,7 +135,7 @@
         self._record = LendingRecord(
             self._store,
             cfg.ip,
-            lambda: self._store.is_reachable and not self._store.in_doubt,
+            lambda: self._store.is_reachable and not self._store.is_probing,
             lambda: self._lender,
             lambda: bool(self._shares.slots),
             self._record_period,
@@ -152,16 +152,16 @@
             self._datagrams.send,
             log,
         )
-        self._datagrams.on_rate = self._rates.handle_message
-        self._datagrams.on_order = self._order.take_message
+        self._datagrams.on_rate_message = self._rates.handle_message
+        self._datagrams.on_order_message = self._order.take_message
 
-    def _follow_store(self):
-        self._feeds = TableFeeds.build(
+    def _build_table_watches(self):
+        self._feeds = TableWatches.build(
             self._store,
-            PassedFeed(self._store, self._fleet, self._peers),
+            PeerFedStore(self._store, self._fleet, self._peers),
             self._decoders,
-            OperatorFeed(self._decoders, self.beliefs, self._take_config, self._log),
-            RowFeed(
+            OperatorFeed(self._decoders, self.beliefs, self._apply_config, self._log),
+            MembershipFeed(
                 self._decoders,
                 self.beliefs,
                 self._strikes,
@@ -173,7 +173,7 @@
             self._log,
         )
 
-    def _face_callers(self, dialect):
+    def _build_caller_side(self, dialect):
         cfg, log = self._cfg, self._log
         self._reaper = RowReaper(self._store, log)
         self._budgets = BudgetKeeper(
@@ -207,7 +207,7 @@
             log,
         )
         self._entry = ProgramEntry(self.beliefs, self._health, self._order, log)
-        elsewhere_after = self._isolation.elsewhere_after
+        retry_elsewhere_seconds = self._isolation.retry_elsewhere_seconds
         self._forwarder = Forwarder(
             cfg,
             self.beliefs,
@@ -225,9 +225,14 @@
                 self._entry,
             ),
             AnswerRelay(
-                dialect, turns, elsewhere_after, self.beliefs, self._metrics, log
+                dialect,
+                turns,
+                retry_elsewhere_seconds,
+                self.beliefs,
+                self._metrics,
+                log,
             ),
-            elsewhere_after,
+            retry_elsewhere_seconds,
             self._strikes,
             self._metrics,
             log,
@@ -235,7 +240,7 @@
         self._front = Frontend(
             dialect,
             lambda: self.beliefs.limits,
-            self._may_keep,
+            self._may_reuse_connections,
             self._forwarder.handle,
             log,
         )
@@ -250,11 +255,11 @@
             self._entry,
             self._lender,
             self._metrics,
-            self._may_keep,
+            self._may_reuse_connections,
         )
         self._ready = StatusServer(ready_path, self._pages.ready, log)
         self._metrics_server = StatusServer(METRICS_PATH, self._pages.metrics, log)
-        self._departure = Departure(
+        self._shutdown = GracefulShutdown(
             self._front,
             self._fleet,
             self._store,
@@ -265,7 +270,7 @@
             lambda: self._cfg.stop_seconds,
             log,
         )
-        news = News(
+        exchange = BeaconExchange(
             self._fleet.own,
             self._store,
             self._health,
@@ -276,12 +281,12 @@
             self._lender,
             self._order,
         )
-        self._datagrams.compose = news.compose
-        self._datagrams.tells_all = lambda: self._rates.share > 0.0
-        self._datagrams.on_beacon = news.take
+        self._datagrams.compose_beacon = exchange.compose_beacon
+        self._datagrams.sends_to_all = lambda: self._rates.share > 0.0
+        self._datagrams.on_beacon = exchange.handle_beacon
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until ``stop`` is set, then leave without cutting a request."""
+        """Serve until ``stop`` is set, then shut down without aborting requests."""
         cfg = self._cfg
         self._log.info("start", ip=cfg.ip, port=cfg.caller_port)
         self._pages.started_at = asyncio.get_running_loop().time()
@@ -299,48 +304,48 @@
                 tasks.create_task(self._reaper.run()),
                 tasks.create_task(self._settings_watch.run(cfg)),
                 tasks.create_task(self._datagrams.run()),
-                tasks.create_task(self._keep_house()),
+                tasks.create_task(self._run_housekeeping()),
             ]
             await self._front.listen(cfg.ip, cfg.caller_port)
             await self._ready.listen(cfg.ip, cfg.ready_port)
             await self._metrics_server.listen(cfg.ip, cfg.metrics_port)
             await stop.wait()
-            await self._departure.run()
+            await self._shutdown.run()
             for task in background:
                 task.cancel()
         self._log.info("stop")
 
     def _record_period(self) -> float:
-        """Return the seconds between records of lending, for a fleet of this size."""
+        """Return the seconds between writes of the lending record, by fleet size."""
         n_hosts = min(MAX_HOLDERS, len(self._fleet.all()) + 1)
         return record_period(n_hosts, self._cfg.store_writes_per_second)
 
-    def _may_keep(self) -> bool:
-        """Whether callers may use their connections again."""
+    def _may_reuse_connections(self) -> bool:
+        """Whether callers may send further requests on their connections."""
         return not self._front.stopping and not self._isolation.active
 
-    async def _keep_house(self):
+    async def _run_housekeeping(self):
         while True:
-            await asyncio.sleep(HOUSEKEEPING_SECONDS)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_SECONDS)
             self._pool.close_expired()
             self.beliefs.drop_lapsed()
-            self._isolation.check()
+            self._isolation.update()
 
     def _forget_target(self, target_id: str) -> None:
-        """Drop what is known of a target that has left."""
+        """Discard the state of a target that has been removed."""
         self._prober.forget(target_id)
         self._health.forget(target_id)
         self._order.forget_target(target_id)
 
-    def _take_config(self, cfg: RoutingConfig) -> None:
+    def _apply_config(self, cfg: RoutingConfig) -> None:
         self._rates.update_customers(cfg.customers)
 
     def reload(self) -> None:
-        """Take SIGHUP: the settings may have changed."""
-        self._settings_watch.ask()
+        """Reload the settings, after SIGHUP."""
+        self._settings_watch.request_reload()
 
     def _apply_settings(self, cfg: GatewaySettings) -> None:
-        """Take new settings; those that name addresses need a restart."""
+        """Apply new settings, except those that need a restart."""
         change = SettingsChange.between(self._cfg, cfg)
         self._cfg = change.settings
         self._log.info(
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_departure.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Stopping without cutting a request or losing what only this host knows."""
+"""Stops a host without aborting requests or losing state that only this host has."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,16 +12,16 @@
 from swifttide_daemon.gateway.turns._turn_memory import TurnMemory
 from swifttide_daemon.telemetry import EventLog
 
-UNREADY_SECONDS = 2.5
-"""From SIGTERM until the port closes. The balancer asks every second and takes a
-host out after two misses; until then new connections still come."""
+NOT_READY_SECONDS = 2.5
+"""Time from SIGTERM until the port for callers closes. The load balancer probes every
+second and removes a host after two failed probes. New connections arrive until then."""
 
 STOP_MARGIN_SECONDS = 1.0
-"""The process ends this long before it would be killed."""
+"""The shutdown ends this long before the process would be killed."""
 
 
-class Departure:
-    """Stops a host as planned.
+class GracefulShutdown:
+    """Planned shutdown of a host.
 
     Parameters
     ----------
@@ -60,29 +60,31 @@
         self._log = log
 
     async def run(self) -> None:
-        """Finish what callers wait for, then go.
+        """Finish the requests in progress, hand over state and leave the fleet.
 
-        Connections stay open until the balancer sends no new ones. Each answer then
-        closes its connection; one that is cut instead has lost a request.
+        The port stays open until the load balancer sends no new connections. Each
+        answer closes its connection. A connection that is aborted instead loses a
+        request.
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
         ends = began + self._stop_seconds() - STOP_MARGIN_SECONDS
         self._log.info("stopping", busy=self._front.n_busy)
         self._front.stopping = True
-        await asyncio.sleep(UNREADY_SECONDS)
+        await asyncio.sleep(NOT_READY_SECONDS)
         self._front.stop_accepting()
         self._front.close_idle()
         while self._front.n_busy and loop.time() < ends:
             await asyncio.sleep(0.05)
         self._log.info("left", busy=self._front.n_busy)
-        await self._hand_over()
+        await self._hand_over_lending()
         await self._fleet.leave(self._store)
 
-    async def _hand_over(self):
-        """Let another host lend, or note that nothing was lent since the last record.
+    async def _hand_over_lending(self):
+        """Hand lending of tokens over to another host, or close the lending record.
 
-        The next process at this address can't know otherwise, and wouldn't lend.
+        The closed record states that nothing was lent since the last record. Without
+        that information, the next process at this address would not lend.
         """
         await self._memory.hand_over()
         handed = self._lender.hand_over()
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_settings_watch.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_settings_watch.py
@@ -1,4 +1,4 @@
-"""Settings that change while the process runs."""
+"""Reloads the settings while the process runs, periodically and on SIGHUP."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,19 +6,19 @@
 from swifttide_daemon.gateway._settings import GatewaySettings
 from swifttide_daemon.telemetry import EventLog
 
-LOOK_SECONDS = 1.0
-"""Between looks at the file, which may change without a signal."""
+FILE_POLL_SECONDS = 1.0
+"""Time between reads of the settings file, which may change without a signal."""
 
 
 class SettingsWatch:
-    """Reads the settings again when they may have changed.
+    """Reads the settings periodically and reports changes.
 
     Parameters
     ----------
     read : callable
-        Returns the settings; raises `ValueError` naming what is wrong.
+        Returns the settings; raises `ValueError` with the cause if they are invalid.
     apply : callable
-        Takes settings that differ from the last ones.
+        Takes settings that differ from the last ones that were read.
     log : EventLog
     """
 
@@ -31,32 +31,32 @@
         self._read = read
         self._apply = apply
         self._log = log
-        self._asked = asyncio.Event()
+        self._reload_requested = asyncio.Event()
         self._last: GatewaySettings | None = None
         self._error = ""
 
-    def ask(self) -> None:
-        """Look at once: SIGHUP came."""
-        self._asked.set()
+    def request_reload(self) -> None:
+        """Read the settings at once, after SIGHUP."""
+        self._reload_requested.set()
 
     async def run(self, current: GatewaySettings) -> None:
-        """Look again and again until cancelled."""
+        """Read the settings periodically until cancelled."""
         self._last = current
         while True:
             try:
-                async with asyncio.timeout(LOOK_SECONDS):
-                    await self._asked.wait()
-                self._asked.clear()
+                async with asyncio.timeout(FILE_POLL_SECONDS):
+                    await self._reload_requested.wait()
+                self._reload_requested.clear()
                 self._log.info("reload")
             except TimeoutError:
                 pass
-            self._look()
+            self._reload_if_changed()
 
-    def _look(self):
+    def _reload_if_changed(self):
         try:
             found = self._read()
         except ValueError as exc:
-            # A file that is being written, or a mistake: the host goes on as it is.
+            # The file is being written or is invalid: keep the current settings.
             if str(exc) != self._error:
                 self._log.error("settings_unreadable", detail=str(exc))
             self._error = str(exc)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_news.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_exchange.py
@@ -1,4 +1,4 @@
-"""What a host tells the others in its beacons, and what it takes from theirs."""
+"""Composes this host's beacons and distributes the contents of received beacons."""
 
 from swifttide_daemon.gateway.budgets._token_lender import TokenLender
 from swifttide_daemon.gateway.peers._beacon import Beacon
@@ -10,12 +10,15 @@
 from swifttide_daemon.gateway.targets._target_health import TargetHealth
 from swifttide_daemon.gateway.turns._turn_memory import TurnMemory
 
-MAX_STRIKES = 8
-"""Crashes told in one beacon: some 100 bytes each, in a datagram of one packet."""
+MAX_STRIKES_PER_BEACON = 8
+"""Upper limit of crash reports in one beacon. Each takes about 100 bytes, and the
+datagram has to fit into one packet."""
 
 
-class News:
-    """Composes beacons and hands the parts of others' beacons on.
+class BeaconExchange:
+    """Collects the contents of beacons from this host's components, and vice versa.
+
+    Received beacons are passed on to the components that use their parts.
 
     Parameters
     ----------
@@ -52,15 +55,15 @@
         self._lender = lender
         self._order = order
 
-    def compose(self, number: int, pause_seconds: float) -> Beacon:
+    def compose_beacon(self, number: int, pause_seconds: float) -> Beacon:
         """Return this host's beacon.
 
         Parameters
         ----------
         number : int
-            Grows with each round of beacons.
+            Sequence number of the beacon round.
         pause_seconds : float
-            Until those that get it get the next one.
+            Time until the recipients of this beacon get the next one.
         """
         own = self._own
         return Beacon(
@@ -70,21 +73,24 @@
             boot=own.boot,
             number=number,
             store_up=self._store.direct_up,
-            store_full=self._store.is_full,
+            store_full=self._store.is_throttled,
             away_seconds=self._memory.seconds_since_outage(),
             config_change=self._config_watch.newest_change,
             target_change=self._targets_watch.newest_change,
             outstanding=self._health.own_counts(),
-            strikes=self._strikes.news()[:MAX_STRIKES],
+            strikes=self._strikes.news()[:MAX_STRIKES_PER_BEACON],
             lending=sorted(self._lender.slots()),
             pause_seconds=pause_seconds,
             cores=own.cores,
         )
 
-    def take(self, beacon: Beacon) -> None:
-        """Take another host's beacon; whether it is heard, the fleet notes itself."""
+    def handle_beacon(self, beacon: Beacon) -> None:
+        """Pass the parts of another host's beacon on to the components.
+
+        The fleet's record of heard hosts is updated by the receiver of the datagram.
+        """
         self._health.told(beacon.ip, beacon.outstanding, beacon.pause_seconds)
         self._order.told(beacon.ip, beacon.outstanding)
         self._strikes.take(beacon.strikes)
-        self._config_watch.heard_of(beacon.config_change)
-        self._targets_watch.heard_of(beacon.target_change)
+        self._config_watch.on_peer_change(beacon.config_change)
+        self._targets_watch.on_peer_change(beacon.target_change)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_rounds.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_rounds.py
@@ -1,14 +1,15 @@
-"""Which hosts get a beacon in a round.
-
-Load pattern: hundreds of hosts, each of which tells all others several times a second
-what it sees.
-
-Without it: messages grow with the square of the hosts. With 69 hosts each took 340
-beacons a second, most of the bytes between zones and a part of its processor time.
-
-Grounds: a host sends to so many others at most in each round, to each in turn. Within a
-zone news are worth more: requests go there first. Hosts that hold shares of customers'
-rates tell all others each time, so that their loss is noticed soon.
+"""Selects the hosts that receive a beacon in each sending round.
+
+Each host sends its state to the other hosts several times a second, in a fleet of
+hundreds of hosts. If every host sent to all others in every round, the number of
+messages would grow with the square of the number of hosts. With 69 hosts, each received
+340 beacons per second, which took most of the bytes between zones and a part of its
+processor time.
+
+The number of recipients per round is therefore bounded, and the recipients rotate from
+round to round. The bound is higher within the own zone: requests are routed there
+first, so fresh state is worth more. Hosts that hold shares of the customers' rate
+limits send to all others in every round, so that their loss is detected quickly.
 """
 
 from collections.abc import Iterable
@@ -18,24 +19,26 @@
 
 from swifttide_daemon.gateway.peers._peer import Peer
 
-ROUND_SECONDS = 0.2
-"""Between rounds; a fifth of a turn's usual time, so counts are fresh enough."""
+BEACON_INTERVAL_SECONDS = 0.2
+"""Mean time between beacon rounds. It is a fifth of the usual duration of a turn (one
+model request), so the request counts in beacons are fresh enough."""
 
-OWN_ZONE_PEERS = 24
-OTHER_ZONE_PEERS = 16
-"""Hosts that get a beacon in one round; with fewer of them, each gets one each time."""
+OWN_ZONE_PEERS_PER_ROUND = 24
+OTHER_ZONE_PEERS_PER_ROUND = 16
+"""Approximate numbers of hosts that get a beacon in one round, in the own zone and in
+all other zones together. If there are fewer hosts, each gets one in every round."""
 
 
 @dataclass(frozen=True, slots=True)
 class BeaconGroup:
-    """Hosts that are told at the same intervals.
+    """Recipients of a round that get beacons at the same interval.
 
     Parameters
     ----------
     peers : tuple of Peer
-        Those that get a beacon in this round.
+        Hosts that get a beacon in this round.
     pause_seconds : float
-        Until each of them gets the next one.
+        Time until each of them gets the next beacon.
     """
 
     peers: tuple[Peer, ...]
@@ -43,36 +46,36 @@
 
 
 def beacon_groups(
-    peers: Iterable[Peer], zone: str, number: int, tells_all: bool
+    peers: Iterable[Peer], zone: str, number: int, sends_to_all: bool
 ) -> list[BeaconGroup]:
-    """Return who gets a beacon in a round.
+    """Return the recipients of a round, grouped by sending interval.
 
     Parameters
     ----------
     peers : iterable of Peer
     zone : str
-        Of this host.
+        Availability zone of this host.
     number : int
-        Of the round.
-    tells_all : bool
-        Whether all hosts get each beacon.
+        Sequence number of the round.
+    sends_to_all : bool
+        Whether all hosts get a beacon in every round.
     """
     peers = list(peers)
-    if tells_all:
-        return [BeaconGroup(tuple(peers), ROUND_SECONDS)]
+    if sends_to_all:
+        return [BeaconGroup(tuple(peers), BEACON_INTERVAL_SECONDS)]
     own = [p for p in peers if p.zone == zone]
     other = [p for p in peers if p.zone != zone]
     return [
-        _group(own, OWN_ZONE_PEERS, number),
-        _group(other, OTHER_ZONE_PEERS, number),
+        _group(own, OWN_ZONE_PEERS_PER_ROUND, number),
+        _group(other, OTHER_ZONE_PEERS_PER_ROUND, number),
     ]
 
 
-def _group(peers, most, number) -> BeaconGroup:
-    n_turns = max(1, -(-len(peers) // most))
-    due = tuple(p for p in peers if (_turn(p) + number) % n_turns == 0)
-    return BeaconGroup(due, ROUND_SECONDS * n_turns)
+def _group(peers, max_peers, number) -> BeaconGroup:
+    n_turns = max(1, -(-len(peers) // max_peers))
+    due = tuple(p for p in peers if (_round_offset(p) + number) % n_turns == 0)
+    return BeaconGroup(due, BEACON_INTERVAL_SECONDS * n_turns)
 
 
-def _turn(peer):
+def _round_offset(peer):
     return xxhash.xxh32_intdigest(peer.ip.encode())
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_fleet.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_fleet.py
@@ -1,4 +1,7 @@
-"""The other hosts, and which of them are heard."""
+"""Fleet membership: the registered hosts, and which of them send beacons.
+
+A host is called *heard* while its beacons arrive within the expected interval.
+"""
 
 import asyncio
 import random
@@ -7,7 +10,7 @@
 import xxhash
 
 from swifttide_core.forwarding import AllowedRegions, RegionMap
-from swifttide_daemon.gateway.peers._beacon_rounds import ROUND_SECONDS
+from swifttide_daemon.gateway.peers._beacon_rounds import BEACON_INTERVAL_SECONDS
 from swifttide_daemon.gateway.peers._peer import Peer
 from swifttide_daemon.gateway.store._shared_store import (
     Applied,
@@ -19,40 +22,45 @@
 )
 from swifttide_daemon.telemetry import EventLog
 
-TABLE = "fleet"
-HOST_PREFIX = "host/"
+FLEET_TABLE = "fleet"
+HOST_KEY_PREFIX = "host/"
 
-HEARD_BEACONS = 3.5
-"""A host of which three beacons in a row are missing counts as out of reach."""
+PEER_TIMEOUT_INTERVALS = 3.5
+"""Beacon intervals without a beacon after which a host counts as lost: three beacons
+in a row are then missing."""
 
-ZONE_HEARD_SECONDS = 0.7
-"""A zone counts as out of reach when none of its hosts was heard for so long. Each
-round brings beacons of some of them, in a fleet of any size."""
+ZONE_TIMEOUT_SECONDS = 0.7
+"""Time without a beacon from any host of a zone after which the zone counts as
+unreachable. In a fleet of any size, each round brings beacons from some of its
+hosts."""
 
-COUNT_SECONDS = 0.2
-"""Between counts of the hosts that are heard: a beacon's pause."""
+HEARD_FRACTION_CACHE_SECONDS = 0.2
+"""Time for which the fraction of heard hosts is cached: one beacon interval."""
 
-FEED_HOSTS = 24
-"""Other hosts from which on some ask the store for the others."""
+MIN_PEERS_FOR_FEEDERS = 24
+"""Number of other hosts from which on only some hosts poll the store for changes, and
+the remaining hosts get the changes from those."""
 
-N_FEEDERS = 2
-"""Hosts in each zone that ask the store themselves: one may be lost."""
+FEEDERS_PER_ZONE = 2
+"""Hosts per zone that poll the store themselves. Two, so that one may be lost."""
 
 REGISTER_RETRY_SECONDS = 0.3
 
 
 class Fleet:
-    """Hosts that registered in the store, and when each was last heard.
+    """Hosts that registered in the store, and when each last sent a beacon.
 
-    Being wrong here costs service, never a promise: what must not be wrong is decided
-    by rows under a condition.
+    This view may be wrong or outdated. An error costs availability but never
+    correctness, because decisions that must be right use conditional writes to rows of
+    the store.
 
     Parameters
     ----------
     own : Peer
+        This host.
     log : EventLog
     regions : RegionMap
-        In which region each zone lies.
+        Maps availability zones to regions.
     """
 
     def __init__(self, own: Peer, log: EventLog, regions: RegionMap | None = None):
@@ -61,33 +69,33 @@
         self._log = log
         self._peers: dict[str, Peer] = {}
         self._heard_at: dict[str, float] = {}
-        self._missed_at: dict[str, float] = {}
+        self._first_missed_at: dict[str, float] = {}
         self._heard_until: dict[str, float] = {}
         self._zone_heard_at: dict[str, float] = {}
         self._store_up: dict[str, bool] = {}
         self._store_full: dict[str, bool] = {}
         self._lending: dict[str, frozenset[int]] = {}
-        self._away_at: dict[str, float] = {}
+        self._last_store_outage_at: dict[str, float] = {}
         self._lost: set[str] = set()
-        self._heard_part = 1.0
-        self._counted_at = float("-inf")
+        self._heard_fraction = 1.0
+        self._heard_fraction_at = float("-inf")
 
     async def register(self, store: SharedStore) -> None:
-        """Write this host's row, however long it takes."""
+        """Write this host's row to the store; retry until the write succeeds."""
         value = msgspec.json.encode(msgspec.structs.asdict(_HostRow.of(self.own)))
-        key = RowKey(TABLE, "", HOST_PREFIX + self.own.ip)
+        key = RowKey(FLEET_TABLE, "", HOST_KEY_PREFIX + self.own.ip)
         tx = Transaction(puts=(Put(key, value),))
         while not isinstance(await store.commit(tx), Applied):
             await asyncio.sleep(REGISTER_RETRY_SECONDS)
 
     async def leave(self, store: SharedStore) -> None:
-        """Remove this host's row."""
-        key = RowKey(TABLE, "", HOST_PREFIX + self.own.ip)
+        """Remove this host's row from the store."""
+        key = RowKey(FLEET_TABLE, "", HOST_KEY_PREFIX + self.own.ip)
         await store.commit(Transaction(removes=(key,)))
 
     def take_row(self, row: StoredRow) -> None:
-        """Take a row of the fleet's table."""
-        ip = row.key.key.removeprefix(HOST_PREFIX)
+        """Apply one row of the fleet table; a deleted row removes its host."""
+        ip = row.key.key.removeprefix(HOST_KEY_PREFIX)
         if ip == self.own.ip:
             return
         peer = _decode(row.value)
@@ -97,57 +105,61 @@
             self._peers.pop(ip, None)
 
     def take_all(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take all rows; hosts that aren't among them have left."""
-        ips = {r.key.key.removeprefix(HOST_PREFIX) for r in rows}
+        """Apply a full read of the fleet table; remove hosts without a row."""
+        ips = {r.key.key.removeprefix(HOST_KEY_PREFIX) for r in rows}
         for ip in set(self._peers) - ips:
             del self._peers[ip]
         for row in rows:
             self.take_row(row)
 
-    def heard(
+    def record_beacon(
         self,
         peer: Peer,
         store_up: bool,
         away_seconds: float | None = None,
         store_full: bool = False,
         lending: frozenset[int] = frozenset(),
-        pause_seconds: float = ROUND_SECONDS,
+        pause_seconds: float = BEACON_INTERVAL_SECONDS,
     ) -> None:
-        """Note a sign of life.
+        """Record that a beacon of a host has arrived.
 
         Parameters
         ----------
         peer : Peer
-            A host that starts while the store is away finds the others by this.
+            Sender. It is added if it is not known yet, so that a host that starts
+            during a store outage discovers the others by their beacons.
         store_up : bool
             Whether the peer reaches the store.
         away_seconds : float or None
-            Since it was last without the store; None if it never was.
+            Time since the peer was last disconnected from the store; None if it never
+            was.
         store_full : bool
-            Whether the store turns its calls away as too many.
+            Whether the store throttles calls of the peer.
         lending : frozenset of int
-            Slots of programs for which it lends tokens now.
+            Hash slots of programs for which the peer currently lends tokens.
         pause_seconds : float
-            Until it tells again.
+            Time until the next beacon of the peer is due.
         """
         ip = peer.ip
         if ip not in self._peers or self._peers[ip].boot != peer.boot:
-            # Its row may be older, or can't be read now.
+            # The peer's row may be outdated, or the store may be unavailable.
             self._peers[ip] = peer
         now = asyncio.get_running_loop().time()
         self._heard_at[ip] = self._zone_heard_at[peer.zone] = now
-        self._heard_until[ip] = now + HEARD_BEACONS * pause_seconds
+        self._heard_until[ip] = now + PEER_TIMEOUT_INTERVALS * pause_seconds
         self._store_up[ip] = store_up
         self._store_full[ip] = store_full
         if away_seconds is not None:
-            self._away_at[ip] = max(self._away_at.get(ip, 0.0), now - away_seconds)
+            self._last_store_outage_at[ip] = max(
+                self._last_store_outage_at.get(ip, 0.0), now - away_seconds
+            )
         self._lending[ip] = lending
         if ip in self._lost:
             self._lost.discard(ip)
             self._log.info("peer_regained", peer=ip)
 
-    def note_silent(self) -> None:
-        """Log peers that have fallen silent."""
+    def log_lost_peers(self) -> None:
+        """Log each peer whose beacons have stopped, once per loss."""
         alive = {p.ip for p in self.alive()}
         for ip in set(self._heard_at) & set(self._peers) - alive - self._lost:
             self._lost.add(ip)
@@ -158,80 +170,97 @@
         return list(self._peers.values())
 
     def alive(self) -> list[Peer]:
-        """Return the hosts heard lately, those of the own zone first."""
+        """Return the heard hosts in random order, those of the own zone first."""
         found = [p for p in self._peers.values() if self.is_heard(p.ip)]
         random.shuffle(found)
         found.sort(key=lambda p: p.zone != self.own.zone)
         return found
 
     def is_heard(self, ip: str) -> bool:
-        """Whether a host was heard lately."""
+        """Whether beacons of a host have arrived within the timeout."""
         if ip not in self._peers:
             return False
         now = asyncio.get_running_loop().time()
         return now < self._heard_until.get(ip, float("-inf"))
 
-    def heard_part(self) -> float:
-        """Return the part of all hosts that are heard, this one included."""
+    def heard_fraction(self) -> float:
+        """Return the fraction of all hosts that are heard, this host included."""
         now = asyncio.get_running_loop().time()
-        if now - self._counted_at >= COUNT_SECONDS:
-            self._counted_at = now
+        if now - self._heard_fraction_at >= HEARD_FRACTION_CACHE_SECONDS:
+            self._heard_fraction_at = now
             n_heard = sum(self.is_heard(ip) for ip in self._peers)
-            self._heard_part = (1 + n_heard) / self.n_hosts()
-        return self._heard_part
+            self._heard_fraction = (1 + n_heard) / self.n_hosts()
+        return self._heard_fraction
 
     def n_hosts(self) -> int:
-        """Return the number of hosts that registered, this one included."""
+        """Return the number of known hosts, this host included."""
         return 1 + len(self._peers)
 
-    def silent_seconds(self, ip: str) -> float:
-        """Return for how long a host hasn't been heard.
+    def seconds_since_heard(self, ip: str) -> float:
+        """Return the time since the last beacon of a host.
 
-        One that never was counts from the first question about it.
+        For a host that has never sent one, the time counts from the first call of this
+        method for it.
         """
         now = asyncio.get_running_loop().time()
         heard_at = self._heard_at.get(ip)
         if heard_at is None:
-            heard_at = self._missed_at.setdefault(ip, now)
+            heard_at = self._first_missed_at.setdefault(ip, now)
         return now - heard_at
 
-    def is_alone(self, seconds: float = ZONE_HEARD_SECONDS) -> bool:
-        """Whether all hosts of other zones, or all hosts at all, have fallen silent.
+    def is_partitioned(
+        self, zone_timeout_seconds: float = ZONE_TIMEOUT_SECONDS
+    ) -> bool:
+        """Whether no beacons arrive from any other zone.
+
+        In a fleet with a single zone: whether no other host is heard at all.
 
         Parameters
         ----------
-        seconds : float
-            For how long other zones have been silent.
+        zone_timeout_seconds : float
+            Time without a beacon after which a zone counts as unreachable.
         """
         now = asyncio.get_running_loop().time()
         zones = {p.zone for p in self._peers.values()} - {self.own.zone}
         if not zones:
             return bool(self._peers) and not self.alive()
         return not any(
-            now - self._zone_heard_at.get(zone, float("-inf")) < seconds
+            now - self._zone_heard_at.get(zone, float("-inf")) < zone_timeout_seconds
             for zone in zones
         )
 
     def by_ip(self, ip: str) -> Peer | None:
-        """Return a host by its address."""
+        """Return a host by its IP address, or None if it is unknown."""
         return self._peers.get(ip)
 
-    def may_have_been_away(self, seconds: float) -> bool:
-        """Whether some host may have been without the store in the last seconds.
+    def any_store_outage_within(self, seconds: float) -> bool:
+        """Whether any other host may have been disconnected from the store recently.
 
-        One that isn't heard may be without it now.
+        A host that is not heard may be disconnected now.
+
+        Parameters
+        ----------
+        seconds : float
+            Length of the period that ends now.
         """
         now = asyncio.get_running_loop().time()
         if len(self.alive()) < len(self._peers):
             return True
-        return any(now - at < seconds for at in self._away_at.values())
+        return any(now - at < seconds for at in self._last_store_outage_at.values())
+
+    def is_same_process_heard(self, ip: str, boot: str) -> bool:
+        """Whether a host is heard and its process has not restarted.
 
-    def is_running(self, ip: str, boot: str) -> bool:
-        """Whether a host's process is heard and the same as before."""
+        Parameters
+        ----------
+        ip : str
+        boot : str
+            Identifier of the process that is expected to run.
+        """
         return any(p.ip == ip and p.boot == boot for p in self.alive())
 
-    def elsewhere(self) -> list[Peer]:
-        """Return the hosts heard lately, one of each other zone first."""
+    def peers_other_zones_first(self) -> list[Peer]:
+        """Return the heard hosts, beginning with one host of each other zone."""
         seen = {self.own.zone}
         first, rest = [], []
         for peer in self.alive():
@@ -240,53 +269,55 @@
         return first + rest
 
     def lender_of(self, slot: int) -> Peer | None:
-        """Return the host that lends tokens to programs of a slot, if one is heard."""
+        """Return a heard host that lends tokens to programs of a hash slot, or None."""
         lends = (p for p in self.alive() if slot in self._lending.get(p.ip, ()))
         return next(lends, None)
 
-    def in_own_zone(self) -> list[Peer]:
-        """Return the hosts of the own zone that are heard, this one included.
+    def own_zone_hosts(self) -> list[Peer]:
+        """Return the heard hosts of the own zone, this host included.
 
-        Those with the most processor time come first; all hosts that hear the same
-        ones have the same order.
+        Hosts with more processor time come first. The order is deterministic: hosts
+        that hear the same hosts compute the same order.
         """
         zone = self.own.zone
         found = [self.own, *(p for p in self.alive() if p.zone == zone)]
-        return sorted(found, key=lambda p: (-p.cores, _spread(p.ip), p.ip))
+        return sorted(found, key=lambda p: (-p.cores, _ip_hash(p.ip), p.ip))
 
     def feeder(self) -> Peer | None:
-        """Return the host that tells this one of changes of rows.
+        """Return the host from which this host gets changes of store rows.
 
-        None where this one asks the store itself.
+        None if this host polls the store itself.
         """
-        if len(self._peers) < FEED_HOSTS:
+        if len(self._peers) < MIN_PEERS_FOR_FEEDERS:
             return None
-        feeders = self.in_own_zone()[:N_FEEDERS]
+        feeders = self.own_zone_hosts()[:FEEDERS_PER_ZONE]
         if self.own in feeders:
             return None
-        return feeders[_spread(self.own.ip) % len(feeders)]
+        return feeders[_ip_hash(self.own.ip) % len(feeders)]
 
-    def with_store(self) -> list[Peer]:
-        """Return the hosts heard lately that reach the store."""
+    def peers_reaching_store(self) -> list[Peer]:
+        """Return the heard hosts that reach the store directly."""
         return [p for p in self.alive() if self._store_up.get(p.ip)]
 
-    def relays(self, homes: AllowedRegions = None) -> list[Peer]:
-        """Return the hosts to which the store has room for more calls.
+    def relay_candidates(self, homes: AllowedRegions = None) -> list[Peer]:
+        """Return the hosts that can relay calls to the store.
+
+        Hosts whose calls the store throttles are left out.
 
         Parameters
         ----------
         homes : frozenset of str or None
-            Regions whose hosts may carry the call.
+            Regions whose hosts may relay the call. None allows all regions.
         """
         return [
             peer
-            for peer in self.with_store()
+            for peer in self.peers_reaching_store()
             if not self._store_full.get(peer.ip)
             and self._regions.allows(peer.zone, homes)
         ]
 
 
-def _spread(ip):
+def _ip_hash(ip):
     return xxhash.xxh32_intdigest(ip.encode())
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_isolation.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_isolation.py
@@ -1,4 +1,4 @@
-"""Whether this host is cut off from the store and from the other zones."""
+"""Detects that this host can reach neither the store nor the other zones."""
 
 import asyncio
 
@@ -6,35 +6,40 @@
 from swifttide_daemon.gateway.store._relayed_store import RelayedStore
 from swifttide_daemon.telemetry import EventLog
 
-BALANCER_SECONDS = 2.1
-"""Time until the balancer has taken out a host that isn't ready: it asks each second
-and counts two misses."""
+BALANCER_REMOVAL_SECONDS = 2.1
+"""Time until the load balancer removes a host that is not ready. The balancer probes
+every second and removes a host after two failed probes."""
 
-DOUBT_SECONDS = 0.45
-"""After two rounds without a beacon of another zone it is found out whether the store
-is there, while the rest of the silence passes."""
+STORE_PROBE_DELAY_SECONDS = 0.45
+"""Time without a beacon from other zones after which the store is probed: two beacon
+rounds. The probe runs while the rest of the zone timeout passes."""
 
-MIN_ELSEWHERE_SECONDS = 0.15
-"""Shortest pause before a caller tries another host."""
+MIN_RETRY_SECONDS = 0.15
+"""Shortest delay before a caller retries on another host."""
 
 
-class Isolation:
-    """Notices that this host is cut off.
+class IsolationDetector:
+    """Detects a network partition that separates this host from the rest of the fleet.
 
-    Load pattern: a zone is cut off from the others and from the store, and callers
-    still reach it.
+    The case that matters is a zone that is disconnected from the other zones and from
+    the store while callers still reach it. Without this check its hosts would refuse
+    every new program until the network recovers, although hosts of other zones, which
+    the callers also reach, could serve them.
 
-    Without it: its hosts refuse every new program until the cut heals, though hosts of
-    other zones, which the callers reach too, could serve them.
-
-    Grounds: in an outage of the store itself the other zones are still heard, and
-    sending callers there would gain nothing.
+    The host counts as isolated only if both the store and the other zones are
+    unreachable. In an outage of the store alone the other zones are still heard, and
+    redirecting callers to them would gain nothing.
 
     Parameters
     ----------
     fleet : Fleet
     store : RelayedStore
     log : EventLog
+
+    Attributes
+    ----------
+    active : bool
+        Whether the host is isolated, as of the last `update`.
     """
 
     def __init__(self, fleet: Fleet, store: RelayedStore, log: EventLog):
@@ -44,9 +49,9 @@
         self._since = 0.0
         self.active = False
 
-    def check(self) -> None:
-        """Look again."""
-        active = self._is_cut_off()
+    def update(self) -> None:
+        """Check the connectivity again and log a change of the state."""
+        active = self._is_isolated()
         if active == self.active:
             return
         self.active = active
@@ -54,19 +59,20 @@
         event = "isolated" if active else "isolation_ended"
         self._log.warning(event, peers=len(self._fleet.alive()))
 
-    def elsewhere_after(self) -> float | None:
-        """Return after how many seconds callers reach another host, None if no sooner.
+    def retry_elsewhere_seconds(self) -> float | None:
+        """Return the delay after which a caller's retry reaches another host.
 
-        When the host knows that it is cut off, the balancer still sends callers here
-        until it has asked twice.
+        None while this host is not isolated: a retry elsewhere would gain nothing.
+        After the host has detected its isolation, the load balancer still routes
+        callers here until two of its probes have failed.
         """
         if not self.active:
             return None
         since = asyncio.get_running_loop().time() - self._since
-        return max(MIN_ELSEWHERE_SECONDS, BALANCER_SECONDS - since)
+        return max(MIN_RETRY_SECONDS, BALANCER_REMOVAL_SECONDS - since)
 
-    def _is_cut_off(self):
-        if not self._fleet.is_alone(DOUBT_SECONDS):
+    def _is_isolated(self):
+        if not self._fleet.is_partitioned(STORE_PROBE_DELAY_SECONDS):
             return False
-        self._store.doubt()
-        return self._fleet.is_alone() and not self._store.is_reachable
+        self._store.probe_store()
+        return self._fleet.is_partitioned() and not self._store.is_reachable
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_server.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_server.py
@@ -1,4 +1,4 @@
-"""Answers calls of other hosts."""
+"""HTTP server that answers calls of other hosts."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -6,7 +6,7 @@
 import h11
 import msgspec
 
-from swifttide_daemon.gateway._sockets import tune
+from swifttide_daemon.gateway._sockets import set_socket_options
 from swifttide_daemon.gateway.peers._peer_messages import (
     PeerAnswer,
     PeerRequest,
@@ -15,19 +15,19 @@
 )
 from swifttide_daemon.telemetry import EventLog
 
-PATH = "/peer"
-READ_BYTES = 65_536
-IDLE_SECONDS = 30.0
+PEER_CALL_PATH = "/peer"
+READ_CHUNK_BYTES = 65_536
+IDLE_TIMEOUT_SECONDS = 30.0
 MAX_BODY_BYTES = 4_194_304
 
 
 class PeerServer:
-    """A port for the other hosts: JSON over HTTP, one task a connection.
+    """Server for calls of other hosts: JSON over HTTP, one task per connection.
 
     Parameters
     ----------
     handle : callable
-        Carries out a call.
+        Carries out a request and returns the answer.
     log : EventLog
     """
 
@@ -39,18 +39,18 @@
         self._server = None
 
     async def listen(self, ip: str, port: int) -> int:
-        """Accept connections; return the port."""
+        """Start to accept connections; return the port that is bound."""
         self._server = await asyncio.start_server(self._serve, ip, port)
         return self._server.sockets[0].getsockname()[1]
 
     async def _serve(self, reader, writer):
         http = h11.Connection(h11.SERVER)
         try:
-            tune(writer.get_extra_info("socket"))
+            set_socket_options(writer.get_extra_info("socket"))
             while await self._serve_one(http, reader, writer):
                 http.start_next_cycle()
         except asyncio.CancelledError:
-            # The process ends while a peer keeps its connection open.
+            # The process shuts down while a peer keeps its connection open.
             return
         except (OSError, EOFError, h11.ProtocolError) as exc:
             self._log.debug("peer_connection_lost", detail=type(exc).__name__)
@@ -93,5 +93,5 @@
                 case h11.Request():
                     continue
                 case _:
-                    async with asyncio.timeout(IDLE_SECONDS):
-                        http.receive_data(await reader.read(READ_BYTES))
+                    async with asyncio.timeout(IDLE_TIMEOUT_SECONDS):
+                        http.receive_data(await reader.read(READ_CHUNK_BYTES))
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_row_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_membership_feed.py
@@ -1,7 +1,7 @@
-"""Turning rows of targets and hosts into beliefs."""
+"""Applies rows of targets and hosts to this host's view of the fleet."""
 
 from swifttide_daemon.gateway._beliefs import Beliefs
-from swifttide_daemon.gateway.peers._fleet import HOST_PREFIX, Fleet
+from swifttide_daemon.gateway.peers._fleet import HOST_KEY_PREFIX, Fleet
 from swifttide_daemon.gateway.rates._share_allocator import KEY as SHARES_KEY
 from swifttide_daemon.gateway.rates._share_allocator import ShareAllocator
 from swifttide_daemon.gateway.store._decoders import Decoders
@@ -12,16 +12,19 @@
 RowsTuple = tuple[StoredRow, ...]
 
 
-class RowFeed:
-    """Takes rows of targets and hosts.
+class MembershipFeed:
+    """Applies rows of targets and hosts.
 
     Parameters
     ----------
     decoders : Decoders
     beliefs : Beliefs
+        This host's view of the targets, which is updated.
     strikes : StrikeKeeper
+        Records crashes of targets; it is told of each target entry.
     fleet : Fleet
     shares : ShareKeeper
+        Gets the row with the shares of the customers' rate limits.
     log : EventLog
     """
 
@@ -42,16 +45,16 @@
         self._log = log
         self._store_up = True
 
-    def note_store(self, up: bool) -> None:
-        """Note whether the store answered."""
+    def set_store_state(self, up: bool) -> None:
+        """Record whether the last call to the store was answered."""
         if up and not self._store_up:
             self._beliefs.store_returned()
         elif not up and self._store_up:
             self._beliefs.store_lost()
         self._store_up = up
 
-    def take_all_targets(self, rows: RowsTuple) -> None:
-        """Take all entries of targets."""
+    def replace_targets(self, rows: RowsTuple) -> None:
+        """Apply a full read of the table of targets."""
         entries = {}
         for row in rows:
             entry = self._decode_target(row)
@@ -60,8 +63,12 @@
                 self._strikes.seen(entry)
         self._beliefs.replace_targets(entries)
 
-    def take_changed_targets(self, rows: RowsTuple) -> int:
-        """Take entries that were written or removed; return the version of the news."""
+    def apply_target_changes(self, rows: RowsTuple) -> int:
+        """Apply target entries that were written or removed.
+
+        Returns the newest version among the entries that changed this host's view, or
+        0.
+        """
         newest = 0
         for row in rows:
             entry = self._decode_target(row)
@@ -74,16 +81,16 @@
                 newest = max(newest, row.version)
         return newest
 
-    def take_all_hosts(self, rows: RowsTuple) -> None:
-        """Take all rows of the fleet's table."""
-        hosts = tuple(r for r in rows if r.key.key.startswith(HOST_PREFIX))
+    def replace_hosts(self, rows: RowsTuple) -> None:
+        """Apply a full read of the fleet table."""
+        hosts = tuple(r for r in rows if r.key.key.startswith(HOST_KEY_PREFIX))
         self._fleet.take_all(hosts)
-        self.take_changed_hosts(rows)
+        self.apply_host_changes(rows)
 
-    def take_changed_hosts(self, rows: RowsTuple) -> int:
-        """Take rows of the fleet's table; return the version of the newest."""
+    def apply_host_changes(self, rows: RowsTuple) -> int:
+        """Apply changed rows of the fleet table; return the newest version, or 0."""
         for row in rows:
-            if row.key.key.startswith(HOST_PREFIX):
+            if row.key.key.startswith(HOST_KEY_PREFIX):
                 self._fleet.take_row(row)
             elif row.key.key == SHARES_KEY:
                 self._shares.apply_row(row)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_operator_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_operator_feed.py
@@ -1,4 +1,4 @@
-"""Turning the operator's rows into beliefs."""
+"""Applies rows of the operator's table to this host's view of the configuration."""
 
 from collections.abc import Callable
 
@@ -10,14 +10,15 @@
 
 
 class OperatorFeed:
-    """Takes rows of the operator's table: the configuration, and zones to empty.
+    """Applies rows of the operator's table: the configuration, and zones to drain.
 
     Parameters
     ----------
     decoders : Decoders
     beliefs : Beliefs
+        This host's view of configuration and targets, which is updated.
     on_config : callable
-        Takes each configuration that comes in force.
+        Takes each configuration that takes effect.
     log : EventLog
     """
 
@@ -33,29 +34,32 @@
         self._on_config = on_config
         self._log = log
 
-    def take_all(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take all rows; a zone without one is no longer emptied."""
+    def replace_rows(self, rows: tuple[StoredRow, ...]) -> None:
+        """Apply a full read of the table; zones without a row are no longer drained."""
         zones = (self._decoders.emptied_zone(r.key.key) for r in rows)
         self._beliefs.replace_emptied_zones({z for z in zones if z is not None})
         for row in rows:
-            self._take_config(row)
+            self._apply_config(row)
 
-    def take_changes(self, rows: tuple[StoredRow, ...]) -> int:
-        """Take rows that were written or removed; return the version of the news."""
+    def apply_changes(self, rows: tuple[StoredRow, ...]) -> int:
+        """Apply rows that were written or removed.
+
+        Returns the newest version among the rows that changed this host's view, or 0.
+        """
         newest = 0
         for row in rows:
-            if self._take_zone(row) or self._take_config(row):
+            if self._apply_emptied_zone(row) or self._apply_config(row):
                 newest = max(newest, row.version)
         return newest
 
-    def _take_zone(self, row) -> bool:
-        """Take a zone's row; that it is there counts, whatever stands in it."""
+    def _apply_emptied_zone(self, row) -> bool:
+        """Apply a row that drains a zone: its existence counts, not its contents."""
         zone = self._decoders.emptied_zone(row.key.key)
         if zone is None:
             return False
-        return self._beliefs.empty_zone(zone, not row.deleted)
+        return self._beliefs.set_zone_emptied(zone, not row.deleted)
 
-    def _take_config(self, row) -> bool:
+    def _apply_config(self, row) -> bool:
         if row.key.key != self._decoders.config_key or row.value is None:
             return False
         try:
@@ -63,7 +67,7 @@
         except ValueError as exc:
             self._log.error("configuration_unreadable", detail=str(exc))
             return False
-        if not self._beliefs.take_config(cfg, "store"):
+        if not self._beliefs.apply_config(cfg, "store"):
             return False
         self._on_config(cfg)
         return True
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_relayed_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_relayed_store.py
@@ -1,17 +1,18 @@
-"""The shared store, directly or through another host.
+"""Store client that calls the store directly, or through another host as a relay.
 
-Load pattern: the store turns single hosts away, or a cut keeps them from it, while it
-serves the others.
+The store may reject individual hosts, or a network partition may separate them from it,
+while it serves the other hosts. Without relays such a host would refuse every new
+program and every turn that continues a turn of another host, although the rest of the
+fleet works normally.
 
-Without it: such a host would refuse every new program and every turn that goes on
-from another host's, though the rest of the fleet is well.
+A store that throttles a call is available. Throttled calls are retried after a short
+backoff, and relayed only through hosts that the store does not throttle. If throttling
+were treated as an outage, every host would probe and relay, which would add to the load
+on the store.
 
-A store that turns a call away as one too many is there: calls wait a little and are
-made again, through another host only while the store has room for that one. Taken for
-an outage, it would have every host probe and relay, and so be asked even more.
-
-Grounds: a transaction that is sent twice takes effect once: writes are under a
-condition that the first one ends, or write the same bytes again.
+A call may be sent twice, because a transaction that is sent twice takes effect once: a
+write either has a condition that no longer holds after the first one, or writes the
+same bytes again.
 """
 
 import asyncio
@@ -39,58 +40,63 @@
 )
 from swifttide_daemon.telemetry import EventLog
 
-NEXT_WAY_SECONDS = 0.2
-"""A call without an answer is made once more after so long, on a new connection and
-then through another host: fifteen times what one takes. Its answer may be lost, or its
-connection silent."""
+HEDGE_DELAY_SECONDS = 0.2
+"""Time after which a call without an answer is sent again, first on a new connection
+and then through another host. It is fifteen times the usual duration of a call. The
+answer may have been lost, or the connection may be dead."""
 
-CALL_SECONDS = 1.0
-"""Time for a call by all ways together, while the store is well."""
+CALL_TIMEOUT_SECONDS = 1.0
+"""Timeout for all attempts of a call together, while the store works normally."""
 
-USUAL_TIMES = 1.5
-"""The next way is tried after so many times what calls take of late. A store that is
-slow answers all the same; calls made twice would only make it slower."""
+HEDGE_LATENCY_FACTOR = 1.5
+"""Multiple of the recent call latency after which the next attempt starts, if that is
+later than `HEDGE_DELAY_SECONDS`. A slow store still answers, and duplicate calls would
+slow it down further."""
 
-CALL_TIMES = 3.0
-"""Likewise for the end of a call."""
+TIMEOUT_LATENCY_FACTOR = 3.0
+"""Multiple of the recent call latency after which a call times out, if that is later
+than `CALL_TIMEOUT_SECONDS`."""
 
-MAX_CALL_SECONDS = 2.0
-"""Longest call: who waits for it leaves after two seconds without an event."""
+MAX_CALL_TIMEOUT_SECONDS = 2.0
+"""Upper limit of the timeout of a call: callers disconnect after two seconds without an
+event."""
 
-USUAL_GAIN = 0.2
-"""Weight of a call that was quicker than usual; a slower one counts at once."""
+LATENCY_DECAY_WEIGHT = 0.2
+"""Weight of a new latency sample that is below the recent latency. A sample above it
+replaces the recent latency at once."""
 
-PROBE_SECONDS = 0.2
-"""Between questions to a store that didn't answer."""
+PROBE_INTERVAL_SECONDS = 0.2
+"""Mean time between probes of a store that did not answer."""
 
 PROBE_TABLE = "fleet"
 PROBE_KEY = "probe"
-"""A row that doesn't exist: the answer tells that the store is there."""
+"""Table and key of a row that does not exist. Any answer to a read of it shows that the
+store is available."""
 
 PROBE_TIMEOUT_SECONDS = 0.4
-"""Time for a probe: a hundred times what it takes while the store is well, and more
-than it takes while the store is slow."""
+"""Timeout of a probe. It is a hundred times the duration of a probe while the store
+works normally, and longer than a probe takes while the store is slow."""
 
-FULL_SECONDS = 0.5
-"""So long after a call was turned away the store counts as full for this host: as long
-as the waiting that it takes on in one part."""
+THROTTLED_SECONDS = 0.5
+"""Time after a throttled call for which the store counts as throttling this host. It
+equals the longest queueing delay that the store accepts in one part."""
 
-FULL_PAUSE_SECONDS = 0.05
-"""First pause after a call was turned away; doubled each time, and drawn from half of
-it to all of it, so that hosts don't come back at once."""
+MIN_THROTTLE_BACKOFF_SECONDS = 0.05
+"""First backoff after a throttled call. It doubles each time. The actual delay is drawn
+at random between half of it and all of it, so that hosts do not retry at once."""
 
-MAX_FULL_PAUSE_SECONDS = 0.2
-"""Longest such pause: a fifth of a call's time."""
+MAX_THROTTLE_BACKOFF_SECONDS = 0.2
+"""Upper limit of the backoff: a fifth of the timeout of a call."""
 
-MAX_PEERS = 2
-"""Hosts that are asked to relay one call."""
+MAX_RELAY_PEERS = 2
+"""Upper limit of hosts that are asked to relay one call."""
 
-RELAY_SECONDS = 1.0
-"""Time for a relayed call: the store's own and the way there and back."""
+RELAY_TIMEOUT_SECONDS = 1.0
+"""Timeout of a relayed call, for the store's own time and the transfer."""
 
 
 class RelayedStore:
-    """Reaches the store as long as one host that is heard reaches it.
+    """Store client that works as long as this host or any heard host reaches the store.
 
     Parameters
     ----------
@@ -99,6 +105,11 @@
     peers : PeerClient
     metrics : GatewayMetrics
     log : EventLog
+
+    Attributes
+    ----------
+    direct_up : bool
+        Whether this host reaches the store directly.
     """
 
     def __init__(
@@ -115,16 +126,16 @@
         self._metrics = metrics
         self._log = log
         self._probe: asyncio.Task | None = None
-        self._usual_seconds = 0.0
-        self._full_at = float("-inf")
+        self._recent_latency_seconds = 0.0
+        self._throttled_at = float("-inf")
         self.direct_up = True
 
     async def commit(
         self, tx: Transaction, homes: AllowedRegions = None
     ) -> Applied | Conflict | Unavailable:
-        """Apply a transaction; only hosts in these regions may carry it."""
+        """Apply a transaction; only hosts in these regions may relay it."""
         relayed = RelayCommit(tx)
-        return await self._either(lambda: self._direct.commit(tx), relayed, homes)
+        return await self._hedged_call(lambda: self._direct.commit(tx), relayed, homes)
 
     async def read(
         self,
@@ -134,110 +145,120 @@
         end: str = "",
         homes: AllowedRegions = None,
     ) -> Rows | Unavailable:
-        """Read the rows of a part; only hosts in these regions may carry them."""
+        """Read the rows of a part; only hosts in these regions may relay them."""
         relayed = RelayRead(table, part, start, end)
 
         def call():
             return self._direct.read(table, part, start, end)
 
         if start or end:
-            return await self._either(call, relayed, homes)
-        # A whole part may be large: read twice at a time it would take twice as long.
-        return await self._one_way(call, relayed, RELAY_SECONDS, homes)
+            return await self._hedged_call(call, relayed, homes)
+        # A whole part may be large: two concurrent reads would take twice as long.
+        return await self._direct_then_relay(
+            call, relayed, RELAY_TIMEOUT_SECONDS, homes
+        )
 
     async def changes(
         self, table: str, after: int, wait_seconds: float
     ) -> Rows | HistoryLost | Unavailable:
-        """Wait for changes.
+        """Return what changed after a version; wait for a change if there is none.
 
-        A host that the store turns away, or doesn't answer, learns of them through
-        another one: it would serve by an old configuration otherwise, and use keys and
-        targets that are no longer to be used.
+        If the store rejects this host or does not answer it, the call is relayed.
+        Otherwise the host would continue with an old configuration, and accept keys and
+        use targets that have been withdrawn.
         """
-        return await self._one_way(
+        return await self._direct_then_relay(
             lambda: self._direct.changes(table, after, wait_seconds),
             RelayChanges(table, after, wait_seconds),
-            wait_seconds + RELAY_SECONDS,
+            wait_seconds + RELAY_TIMEOUT_SECONDS,
         )
 
-    async def _one_way(self, call, relayed, seconds, homes=None):
-        """Ask the store or, where it doesn't answer this host, another host."""
-        outcome = Unavailable("out of reach")
+    async def _direct_then_relay(self, call, relayed, seconds, homes=None):
+        """Call the store and, if it does not answer this host, use a relay."""
+        outcome = Unavailable("store unreachable from this host")
         if self.direct_up:
             outcome = await call()
             if not isinstance(outcome, Unavailable):
                 return outcome
             if outcome.throttled:
-                self._note_full(relayed)
+                self._record_throttling(relayed)
             else:
-                self._doubt(outcome)
-        return await self._relay(relayed, seconds, outcome, homes)
+                self._start_probe(outcome)
+        return await self._call_relays(relayed, seconds, outcome, homes)
 
     @property
-    def is_full(self) -> bool:
-        """Whether the store has turned calls of this host away lately as too many."""
-        return asyncio.get_running_loop().time() - self._full_at < FULL_SECONDS
+    def is_throttled(self) -> bool:
+        """Whether the store has recently throttled calls of this host."""
+        return (
+            asyncio.get_running_loop().time() - self._throttled_at < THROTTLED_SECONDS
+        )
 
     @property
-    def in_doubt(self) -> bool:
-        """Whether it is being found out if the store is there."""
+    def is_probing(self) -> bool:
+        """Whether a probe of the store is in progress."""
         return self._probe is not None and not self._probe.done()
 
     @property
     def is_reachable(self) -> bool:
-        """Whether this host or one that it hears reaches the store."""
-        return self.direct_up or bool(self._fleet.with_store())
+        """Whether this host or a heard host reaches the store."""
+        return self.direct_up or bool(self._fleet.peers_reaching_store())
 
     def reconnect(self) -> None:
-        """Make the next calls on new connections.
+        """Open new connections for the next calls, and probe the store.
 
-        Whoever asks for that has waited in vain. If the store is silent, and not only
-        the connection, calls go through other hosts as soon as that is found out.
+        The caller has not got an answer in time. If the probe shows that the store
+        itself does not answer, and not only the connection, calls are relayed.
         """
         self._direct.reconnect()
-        self._doubt(Unavailable("no answer yet"))
+        self._start_probe(Unavailable("no answer yet"))
 
-    async def _either(self, call, relayed, homes):
+    async def _hedged_call(self, call, relayed, homes):
         if not self.is_reachable:
-            # Known to be down: fail at once, rather than let callers wait in vain.
-            return Unavailable("out of reach")
+            # The store is known to be unreachable: fail at once, so that callers do not
+            # wait for the timeout.
+            return Unavailable("store unreachable from all hosts")
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
-            usual = CALL_TIMES * self._usual_seconds
-            limit = min(MAX_CALL_SECONDS, max(CALL_SECONDS, usual))
+            usual = TIMEOUT_LATENCY_FACTOR * self._recent_latency_seconds
+            limit = min(MAX_CALL_TIMEOUT_SECONDS, max(CALL_TIMEOUT_SECONDS, usual))
             async with asyncio.timeout(limit):
-                outcome = await self._race(call, relayed, homes)
+                outcome = await self._run_attempts(call, relayed, homes)
         except TimeoutError:
             outcome = Unavailable("no answer", True)
-            if not self.is_full:
-                self._doubt(outcome)
+            if not self.is_throttled:
+                self._start_probe(outcome)
         name = type(relayed).__name__
         seconds = loop.time() - began
         self._metrics.store_call(name, type(outcome).__name__, seconds)
         if not isinstance(outcome, Unavailable):
-            self._note_seconds(seconds)
+            self._record_latency(seconds)
         return outcome
 
-    def _note_seconds(self, seconds):
-        faded = self._usual_seconds + (seconds - self._usual_seconds) * USUAL_GAIN
-        self._usual_seconds = max(seconds, faded)
+    def _record_latency(self, seconds):
+        decayed = (
+            self._recent_latency_seconds
+            + (seconds - self._recent_latency_seconds) * LATENCY_DECAY_WEIGHT
+        )
+        self._recent_latency_seconds = max(seconds, decayed)
 
-    async def _race(self, call, relayed, homes):
-        """Try one way after the other, not waiting long for any; take the first answer.
+    async def _run_attempts(self, call, relayed, homes):
+        """Start one attempt after the other and return the first answer.
 
-        All ways may carry a transaction out: it takes effect once.
+        An attempt that has not answered after the hedge delay keeps running while the
+        next one starts. Several attempts may carry out a transaction, which takes
+        effect only once.
         """
-        ways = self._ways(call, relayed, homes)
-        pause = FULL_PAUSE_SECONDS
+        attempts = self._attempts(call, relayed, homes)
+        pause = MIN_THROTTLE_BACKOFF_SECONDS
         pending: set[asyncio.Task] = set()
-        outcome = Unavailable("no way to the store")
+        outcome = Unavailable("no connection or relay to the store")
         try:
-            while ways or pending:
-                if ways:
-                    pending.add(asyncio.ensure_future(ways.pop(0)()))
-                usual = USUAL_TIMES * self._usual_seconds
-                wait = max(NEXT_WAY_SECONDS, usual) if ways else None
+            while attempts or pending:
+                if attempts:
+                    pending.add(asyncio.ensure_future(attempts.pop(0)()))
+                usual = HEDGE_LATENCY_FACTOR * self._recent_latency_seconds
+                wait = max(HEDGE_DELAY_SECONDS, usual) if attempts else None
                 done, pending = await asyncio.wait(
                     pending, timeout=wait, return_when=asyncio.FIRST_COMPLETED
                 )
@@ -246,53 +267,53 @@
                     if not isinstance(outcome, Unavailable):
                         return outcome
                     if not outcome.throttled:
-                        self._doubt(outcome)
+                        self._start_probe(outcome)
                         continue
-                    self._note_full(relayed)
+                    self._record_throttling(relayed)
                     await asyncio.sleep(pause * random.uniform(0.5, 1.0))
-                    pause = min(2.0 * pause, MAX_FULL_PAUSE_SECONDS)
-                    if not ways:
-                        # Until the call's time is over: there is no other way.
-                        ways.append(call)
+                    pause = min(2.0 * pause, MAX_THROTTLE_BACKOFF_SECONDS)
+                    if not attempts:
+                        # No other route is left: retry until the call times out.
+                        attempts.append(call)
                 if not done:
-                    # The connection may have gone silent: the next try opens another.
-                    # Or the store has, which a short question tells sooner than the
-                    # end of this call's time.
+                    # If the connection is dead, the next attempt opens a new one. If
+                    # the store does not answer at all, a short probe shows that before
+                    # this call times out.
                     self._direct.reconnect()
-                    self._doubt(Unavailable("no answer yet"))
+                    self._start_probe(Unavailable("no answer yet"))
             return outcome
         finally:
             for task in pending:
                 task.cancel()
 
-    def _ways(self, call, relayed, homes):
-        """Return how the store may be reached, the likeliest way first."""
+    def _attempts(self, call, relayed, homes):
+        """Return the attempts of a call, those most likely to succeed first."""
         direct = [call, call] if self.direct_up else []
         relays = [
             functools.partial(self._ask_peer, peer, relayed)
-            for peer in self._fleet.relays(homes)[:MAX_PEERS]
+            for peer in self._fleet.relay_candidates(homes)[:MAX_RELAY_PEERS]
         ]
-        if self.is_full:
-            # It may turn only some hosts away.
+        if self.is_throttled:
+            # The store may throttle only some hosts, so a relay goes first.
             return relays[:1] + direct[:1] + relays[1:]
         return direct + relays
 
-    def _note_full(self, relayed):
-        if not self.is_full:
-            table, part = relayed.place
+    def _record_throttling(self, relayed):
+        if not self.is_throttled:
+            table, part = relayed.table_and_part
             self._log.warning(
                 "store_full", call=type(relayed).__name__, table=table, part=part
             )
-        self._full_at = asyncio.get_running_loop().time()
+        self._throttled_at = asyncio.get_running_loop().time()
 
     async def _ask_peer(self, peer, relayed):
-        match await self._peers.call(peer, relayed, RELAY_SECONDS):
+        match await self._peers.call(peer, relayed, RELAY_TIMEOUT_SECONDS):
             case StoreOutcome() as answer:
                 return answer.unwrap()
         return Unavailable("no answer from a peer", True)
 
-    async def _relay(self, relayed, seconds, outcome, homes):
-        for peer in self._fleet.relays(homes)[:MAX_PEERS]:
+    async def _call_relays(self, relayed, seconds, outcome, homes):
+        for peer in self._fleet.relay_candidates(homes)[:MAX_RELAY_PEERS]:
             match await self._peers.call(peer, relayed, seconds):
                 case StoreOutcome() as answer:
                     found = answer.unwrap()
@@ -300,18 +321,18 @@
                         return found
         return outcome
 
-    def doubt(self) -> None:
-        """Find out whether the store is there; other hosts have fallen silent."""
+    def probe_store(self) -> None:
+        """Probe the store, because no beacons arrive from other zones."""
         if self.direct_up:
-            self._doubt(Unavailable("other zones are silent"))
+            self._start_probe(Unavailable("no beacons from other zones"))
 
-    def _doubt(self, outcome):
-        """Ask the store whether it is there, until it answers."""
+    def _start_probe(self, outcome):
+        """Start probing the store, unless a probe is already in progress."""
         if self._probe is None or self._probe.done():
             loop = asyncio.get_running_loop()
-            self._probe = loop.create_task(self._ask(outcome.detail))
+            self._probe = loop.create_task(self._probe_until_reachable(outcome.detail))
 
-    async def _ask(self, detail):
+    async def _probe_until_reachable(self, detail):
         while True:
             self._direct.reconnect()
             answer = await self._probe_once()
@@ -323,7 +344,7 @@
             if up:
                 return
             detail = answer.detail
-            await asyncio.sleep(PROBE_SECONDS * random.uniform(0.7, 1.3))
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS * random.uniform(0.7, 1.3))
 
     async def _probe_once(self):
         try:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_passed_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_passed_feed.py
@@ -1,25 +1,29 @@
-"""Changes that hosts pass on to each other."""
+"""Tests of hosts that follow a table through other hosts."""
 
 import asyncio
 
 import pytest
 
-from swifttide_daemon.gateway.peers._fleet import FEED_HOSTS, N_FEEDERS, Fleet
+from swifttide_daemon.gateway.peers._fleet import (
+    FEEDERS_PER_ZONE,
+    MIN_PEERS_FOR_FEEDERS,
+    Fleet,
+)
 from swifttide_daemon.gateway.peers._peer import Peer
 from swifttide_daemon.gateway.peers._peer_messages import FollowTable, StoreOutcome
-from swifttide_daemon.gateway.store._passed_feed import PassedFeed
+from swifttide_daemon.gateway.store._peer_fed_store import PeerFedStore
 from swifttide_daemon.gateway.store._shared_store import Unavailable
 from swifttide_daemon.gateway.store._table_watch import TableWatch
 from swifttide_standins.paused_clock import run_paused
 
 
-class Hosts:
-    """Hosts of two zones that follow one table.
+class FollowingHosts:
+    """Hosts of two zones that follow one table; also their peer client.
 
     Attributes
     ----------
     frozen : set of str
-        Hosts that answer no calls.
+        IP addresses of hosts that do not answer calls.
     """
 
     def __init__(self, store, log, n_hosts):
@@ -37,7 +41,7 @@
         fleet = self.fleets[own.ip] = Fleet(own, log)
         for peer in self.peers:
             if peer is not own:
-                fleet.heard(peer, True, pause_seconds=1000.0)
+                fleet.record_beacon(peer, True, pause_seconds=1000.0)
         seen = self.seen[own.ip] = {}
 
         def take(rows):
@@ -47,13 +51,13 @@
         async def no_copy(table):
             return None
 
-        source = PassedFeed(self.store, fleet, self)
+        source = PeerFedStore(self.store, fleet, self)
         self.watches[own.ip] = TableWatch(
             source, "t", take, take, lambda up: None, no_copy, log, 0.8
         )
 
     async def call(self, peer, request, seconds):
-        """Answer as the host would, if it can."""
+        """Answer a call as the peer would, unless it is frozen."""
         if peer.ip in self.frozen:
             await asyncio.sleep(seconds)
             return None
@@ -67,10 +71,10 @@
 
 
 @pytest.fixture
-def play(store, log):
+def run_scenario(store, log):
     def run(scenario, n_hosts=100):
         async def main():
-            hosts = Hosts(store, log, n_hosts)
+            hosts = FollowingHosts(store, log, n_hosts)
             store.rows.put("t", "a", b"1")
             tasks = hosts.run()
             await asyncio.sleep(5.0)
@@ -84,9 +88,9 @@
     return run
 
 
-class TestPassedFeed:
-    def test_calls_dont_grow_with_hosts(self, play, store):
-        """Guards against calls that grow with the hosts that follow a table."""
+class TestPeerFedStore:
+    def test_store_calls_do_not_grow_with_the_fleet(self, run_scenario, store):
+        """Guards against store calls in proportion to the hosts that follow a table."""
 
         async def scenario(hosts):
             before = store.n_calls
@@ -95,33 +99,36 @@
                 await asyncio.sleep(0.5)
             return store.n_calls - before
 
-        n_feeders = 2 * N_FEEDERS
-        assert play(scenario) <= 20.0 / 0.8 * n_feeders * 1.2
+        n_feeders = 2 * FEEDERS_PER_ZONE
+        assert run_scenario(scenario) <= 20.0 / 0.8 * n_feeders * 1.2
 
-    def test_small_fleet_asks_the_store(self, play):
+    def test_small_fleet_has_no_feeders(self, run_scenario):
         async def scenario(hosts):
             return [fleet.feeder() for fleet in hosts.fleets.values()]
 
-        assert play(scenario, FEED_HOSTS) == [None] * FEED_HOSTS
+        assert (
+            run_scenario(scenario, MIN_PEERS_FOR_FEEDERS)
+            == [None] * MIN_PEERS_FOR_FEEDERS
+        )
 
-    def test_news_reach_all_hosts_soon(self, play, store):
+    def test_change_reaches_all_hosts_within_a_second(self, run_scenario, store):
         async def scenario(hosts):
             store.rows.put("t", "a", b"2")
             await asyncio.sleep(1.0)
             return {seen["a"] for seen in hosts.seen.values()}
 
-        assert play(scenario) == {b"2"}
+        assert run_scenario(scenario) == {b"2"}
 
-    def test_removals_are_passed_on(self, play, store):
+    def test_removals_are_forwarded(self, run_scenario, store):
         async def scenario(hosts):
             store.rows.remove("t", "a")
             await asyncio.sleep(1.0)
             return {seen["a"] for seen in hosts.seen.values()}
 
-        assert play(scenario) == {None}
+        assert run_scenario(scenario) == {None}
 
-    def test_frozen_feeder_is_passed_over(self, play, store):
-        """Guards against old beliefs while the hosts that ask the store freeze."""
+    def test_frozen_feeder_is_bypassed(self, run_scenario, store):
+        """Guards against outdated copies while the hosts that poll the store hang."""
 
         async def scenario(hosts):
             hosts.frozen = {
@@ -131,10 +138,12 @@
             await asyncio.sleep(3.5)
             return {s["a"] for ip, s in hosts.seen.items() if ip not in hosts.frozen}
 
-        assert play(scenario) == {b"2"}
+        assert run_scenario(scenario) == {b"2"}
 
-    def test_hosts_that_ask_each_other_find_out(self, play, store):
-        """Guards against two hosts that tell each other that nothing has changed."""
+    def test_hosts_that_poll_each_other_detect_outdated_copies(
+        self, run_scenario, store
+    ):
+        """Guards against two hosts that report to each other that nothing changed."""
 
         async def scenario(hosts):
             one, two = hosts.peers[20], hosts.peers[22]
@@ -145,13 +154,13 @@
             await asyncio.sleep(6.0)
             return hosts.seen[one.ip]["a"], hosts.seen[two.ip]["a"]
 
-        assert play(scenario) == (b"2", b"2")
+        assert run_scenario(scenario) == (b"2", b"2")
 
-    def test_feeder_that_lost_the_store_says_so(self, play, store):
+    def test_feeder_without_the_store_reports_unavailable(self, run_scenario, store):
         async def scenario(hosts):
             store.down = True
             await asyncio.sleep(5.0)
             watch = next(iter(hosts.watches.values()))
             return await watch.changes_after(0, 0.1)
 
-        assert isinstance(play(scenario), Unavailable)
+        assert isinstance(run_scenario(scenario), Unavailable)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_relayed_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_relayed_store.py
@@ -1,4 +1,4 @@
-"""Reaching the store through another host."""
+"""Tests of reaching the store through another host."""
 
 import asyncio
 
@@ -29,8 +29,8 @@
 TX = Transaction(puts=(Put(RowKey("t", "", "k"), b"v"),))
 
 
-class Peers:
-    """A host that reaches the store."""
+class RelayPeers:
+    """Peer client whose only host reaches the store and relays calls to it."""
 
     def __init__(self, store):
         self.store = store
@@ -48,8 +48,8 @@
         return StoreOutcome.of(Unavailable("not here"))
 
 
-class TurnedAway:
-    """A store that turns this host away: with an answer, silence, or as too many."""
+class RefusingStore:
+    """Store that rejects this host: with an error, no answer, or by throttling."""
 
     def __init__(self, silent, throttled=False):
         self.silent = silent
@@ -74,16 +74,18 @@
         pass
 
 
-def relayed(direct, store, log, helped=True, has_room=True):
+def relayed_store(direct, store, log, helped=True, has_room=True):
     fleet = Fleet(Peer("10.0.0.1", 1, "zone-a", "b1"), log)
-    fleet.with_store = lambda: [HELPER] if helped else []
-    fleet.relays = lambda homes=None: fleet.with_store() if has_room else []
-    peers = Peers(store)
+    fleet.peers_reaching_store = lambda: [HELPER] if helped else []
+    fleet.relay_candidates = lambda homes=None: (
+        fleet.peers_reaching_store() if has_room else []
+    )
+    peers = RelayPeers(store)
     return RelayedStore(direct, fleet, peers, GatewayMetrics("h", "z"), log), peers
 
 
-class Full:
-    """A store that takes some calls a second and turns the others away."""
+class ThrottlingStore:
+    """Store that accepts a number of calls per second and throttles the others."""
 
     def __init__(self, store, per_second):
         self._store = store
@@ -115,15 +117,18 @@
         pass
 
 
-class TestFullStore:
-    """The store takes a tenth of the usual calls and turns the rest away."""
+class TestThrottlingStore:
+    """The store accepts a tenth of the usual calls and throttles the rest."""
+
+    def test_throttling_is_not_an_outage(self, store, log):
+        """Guards against throttling that is mistaken for an outage.
 
-    def test_is_no_outage(self, store, log):
-        """Callers would be refused, and hosts would probe and relay all the more."""
+        Callers would then be refused, and hosts would add load by probes and relays.
+        """
 
         async def main():
-            full = Full(store, 20)
-            found, peers = relayed(full, store, log, helped=False)
+            full = ThrottlingStore(store, 20)
+            found, peers = relayed_store(full, store, log, helped=False)
             calls = [found.commit(TX) for _ in range(6)]
             outcomes = await asyncio.gather(*calls)
             return outcomes, found.direct_up, full.n_calls
@@ -133,14 +138,16 @@
         assert all(isinstance(outcome, Applied) for outcome in outcomes)
         assert n_calls <= 36
 
-    def test_watch_asks_no_host_that_is_turned_away_too(self, store, log):
-        """The store takes too few calls for all hosts. Asked for each other, they would
-        only add to them.
+    def test_changes_are_not_relayed_through_throttled_hosts(self, store, log):
+        """Guards against additional load on a store that throttles all hosts.
+
+        The store accepts too few calls for all hosts, and relaying them would only add
+        further calls.
         """
 
         async def main():
-            full = Full(store, 0.1)
-            found, peers = relayed(full, store, log, has_room=False)
+            full = ThrottlingStore(store, 0.1)
+            found, peers = relayed_store(full, store, log, has_room=False)
             await found.read("t", "")
             outcome = await found.changes("t", 0, 2.0)
             return outcome, peers.n_calls, found.direct_up
@@ -149,16 +156,16 @@
         assert isinstance(outcome, Unavailable)
         assert (n_relayed, up) == (0, True)
 
-    def test_watch_asks_one_host_for_which_there_is_room(self, store, log):
-        """The store turns this host away as one too many, and not another one.
+    def test_changes_are_relayed_once_through_an_unthrottled_host(self, store, log):
+        """The store throttles this host but not another one.
 
-        One question goes through that host, and no probes beside it.
+        One call is relayed through the other host, without any probes.
         """
 
         async def main():
             store.rows.put("t", "a", b"1")
-            full = Full(store, 0.0)
-            found, peers = relayed(full, store, log)
+            full = ThrottlingStore(store, 0.0)
+            found, peers = relayed_store(full, store, log)
             await found.read("t", "")
             outcome = await found.changes("t", 0, 2.0)
             return outcome, peers.n_calls, full.n_calls, found.direct_up
@@ -167,11 +174,11 @@
         assert isinstance(outcome, Rows)
         assert (n_relayed, n_direct, up) == (1, 2, True)
 
-    def test_only_some_hosts_are_turned_away(self, store, log):
-        """The store turns this host away and serves the others."""
+    def test_commits_are_relayed_while_only_this_host_is_throttled(self, store, log):
+        """The store throttles this host and serves the others."""
 
         async def main():
-            found, _ = relayed(Full(store, 0.0), store, log)
+            found, _ = relayed_store(ThrottlingStore(store, 0.0), store, log)
             await found.read("t", "")
             loop = asyncio.get_running_loop()
             before = loop.time()
@@ -184,23 +191,24 @@
 
 
 class TestRelay:
-    def test_host_that_is_turned_away_asks_another(self, store, log):
+    def test_rejected_host_commits_through_another_host(self, store, log):
         async def main():
-            found, _ = relayed(TurnedAway(False), store, log)
+            found, _ = relayed_store(RefusingStore(False), store, log)
             return await found.commit(TX), store.rows.rows
 
         outcome, rows = run_paused(main())
         assert isinstance(outcome, Applied)
         assert rows[("t", "", "k")].value == b"v"
 
-    def test_fails_at_once_while_nobody_reaches_it(self, store, log):
-        """The store is down for all, and doesn't answer.
+    def test_commit_fails_at_once_while_no_host_reaches_the_store(self, store, log):
+        """Guards against calls that wait for a store known to be down.
 
-        Each request would otherwise wait most of its time before it is refused.
+        The store does not answer any host. Each request would otherwise wait for most
+        of its time before it is refused.
         """
 
         async def main():
-            found, _ = relayed(TurnedAway(True), store, log, helped=False)
+            found, _ = relayed_store(RefusingStore(True), store, log, helped=False)
             await found.commit(TX)
             await asyncio.sleep(1.0)
             loop = asyncio.get_running_loop()
@@ -212,15 +220,16 @@
         assert isinstance(outcome, Unavailable)
         assert seconds == 0.0
 
-    def test_silence_is_noticed_before_the_first_call_has_failed(self, store, log):
-        """The store falls silent: it takes connections and never answers.
+    def test_hanging_store_is_detected_before_the_first_call_fails(self, store, log):
+        """Guards against late detection of a store that accepts connections but hangs.
 
-        Until that is known callers wait for their whole time, and nothing is lent.
+        Until it is detected, callers wait for their full timeout, and hosts do not lend
+        tokens.
         """
 
         async def main():
-            silent = TurnedAway(True)
-            found, _ = relayed(silent, store, log, helped=False)
+            silent = RefusingStore(True)
+            found, _ = relayed_store(silent, store, log, helped=False)
             call = asyncio.create_task(found.commit(TX))
             await asyncio.sleep(0.7)
             seen = found.direct_up, call.done()
@@ -229,10 +238,10 @@
 
         assert run_paused(main()) == (False, False)
 
-    def test_notices_that_the_store_is_back(self, store, log):
+    def test_recovery_of_the_store_is_detected(self, store, log):
         async def main():
             store.down = True
-            found, _ = relayed(store, store, log, helped=False)
+            found, _ = relayed_store(store, store, log, helped=False)
             await found.commit(TX)
             await asyncio.sleep(1.0)
             was_up = found.direct_up
@@ -245,15 +254,15 @@
         assert isinstance(rows, Rows)
 
     def test_lost_answer_costs_a_quarter_of_a_second(self, store, log):
-        """The store writes a row and its answer is lost.
+        """Guards against waiting for the full timeout after a lost answer.
 
-        A second call, on a new connection, tells so long before the first one's time
-        is over.
+        The store writes a row and its answer is lost. A second call on a new connection
+        gets the answer long before the first one times out.
         """
 
         async def main():
-            store.lose = 1
-            found, _ = relayed(store, store, log, helped=False)
+            store.n_lost_answers = 1
+            found, _ = relayed_store(store, store, log, helped=False)
             loop = asyncio.get_running_loop()
             before = loop.time()
             outcome = await found.commit(TX)
@@ -263,15 +272,15 @@
         assert isinstance(outcome, Applied)
         assert seconds < 0.3
 
-    def test_slow_store_is_not_asked_twice(self, store, log):
-        """Each answer of the store takes half a second.
+    def test_slow_store_gets_no_duplicate_calls(self, store, log):
+        """Guards against duplicate calls that overload a slow store.
 
-        Calls made twice and three times would slow it down further, and all of them
-        would run out of time.
+        Each answer of the store takes half a second. Duplicate calls would slow it down
+        further, until all calls time out.
         """
 
         async def main():
-            found, peers = relayed(store, store, log)
+            found, peers = relayed_store(store, store, log)
             quick = store.commit
 
             async def slow(tx):
@@ -289,23 +298,22 @@
         assert n_calls == 10
 
 
-class TestFollowing:
+class TestFollowingThroughRelay:
     @pytest.mark.parametrize(
         ("silent", "throttled"), [(True, False), (False, False), (False, True)]
     )
-    def test_host_that_is_turned_away_learns_of_changes(
-        self, store, log, silent, throttled
-    ):
-        """The store turns one host away, in one way or another, and serves the others.
+    def test_rejected_host_receives_changes(self, store, log, silent, throttled):
+        """Guards against a host that keeps accepting a withdrawn key.
 
-        Its beacons tell it that there is a newer configuration. Callers with a key that
-        was taken away reach this host, and it must not serve them for long.
+        The store rejects one host and serves the others, whose beacons state that there
+        is a newer configuration. Callers with a withdrawn key reach this host, and it
+        must not serve them for long.
         """
 
         async def main():
             store.rows.put("t", "a", b"1")
-            direct = TurnedAway(silent, throttled)
-            through, _ = relayed(direct, store, log)
+            direct = RefusingStore(silent, throttled)
+            through, _ = relayed_store(direct, store, log)
             seen = {}
 
             def take(rows):
@@ -321,7 +329,7 @@
             store.rows.put("t", "a", b"2")
             for _ in range(10):
                 await asyncio.sleep(0.2)
-                watch.heard_of(store.rows.version)
+                watch.on_peer_change(store.rows.version)
             task.cancel()
             return seen
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_row_reaper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_row_reaper.py
@@ -1,8 +1,8 @@
-"""Removing old rows."""
+"""Tests of the removal of expired rows."""
 
 import asyncio
 
-from swifttide_daemon.gateway.store._row_reaper import MARGIN_SECONDS, RowReaper
+from swifttide_daemon.gateway.store._row_reaper import REMOVAL_MARGIN_SECONDS, RowReaper
 from swifttide_daemon.gateway.store._shared_store import RowKey
 from swifttide_standins.paused_clock import run_paused
 
@@ -16,13 +16,13 @@
         store.rows.put("t", f"k{number}", b"v", part)
         reaper.remove_after(key(number, part), store.rows.version, 60.0)
 
-    def test_removes_in_time_and_not_before(self, store, log):
+    def test_removes_rows_after_the_margin_and_not_before(self, store, log):
         async def main():
             reaper = RowReaper(store, log)
             task = asyncio.create_task(reaper.run())
             for i in range(120):
                 self.write(store, reaper, i, f"p{i % 3}")
-            await asyncio.sleep(60.0 + MARGIN_SECONDS - 5.0)
+            await asyncio.sleep(60.0 + REMOVAL_MARGIN_SECONDS - 5.0)
             before = len(store.rows.rows)
             await asyncio.sleep(30.0)
             task.cancel()
@@ -30,10 +30,11 @@
 
         assert run_paused(main()) == (120, 0)
 
-    def test_row_that_another_host_wrote_since_stays(self, store, log):
-        """Two hosts serve one program; the one that is done removes old rows.
+    def test_row_written_by_another_host_since_is_kept(self, store, log):
+        """Guards against the removal of an account that another host still uses.
 
-        Removing the account would let the program spend its budget again.
+        Two hosts serve one program, and one of them removes its expired rows. Without
+        the account, the program could spend its budget a second time.
         """
 
         async def main():
@@ -42,21 +43,21 @@
             self.write(store, reaper, 1)
             self.write(store, reaper, 2)
             store.rows.put("t", "k1", b"other", "p")
-            await asyncio.sleep(60.0 + MARGIN_SECONDS + 20.0)
+            await asyncio.sleep(60.0 + REMOVAL_MARGIN_SECONDS + 20.0)
             task.cancel()
             return [place[2] for place in store.rows.rows]
 
         assert run_paused(main()) == ["k1"]
 
-    def test_goes_on_after_an_outage(self, store, log):
+    def test_removal_resumes_after_a_store_outage(self, store, log):
         async def main():
             reaper = RowReaper(store, log)
             task = asyncio.create_task(reaper.run())
             self.write(store, reaper, 1)
             store.down = True
-            await asyncio.sleep(60.0 + MARGIN_SECONDS + 5.0)
+            await asyncio.sleep(60.0 + REMOVAL_MARGIN_SECONDS + 5.0)
             store.down = False
-            await asyncio.sleep(MARGIN_SECONDS + 5.0)
+            await asyncio.sleep(REMOVAL_MARGIN_SECONDS + 5.0)
             task.cancel()
             return len(store.rows.rows)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_turn_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_turn_keeper.py
@@ -74,7 +74,7 @@
             for other in fleet.hosts.values():
                 if other is not self and other.isolated == self.isolated:
                     away = self.turns.memory.seconds_since_outage()
-                    other.fleet.heard(self.peer, not self._store.down, away)
+                    other.fleet.record_beacon(self.peer, not self._store.down, away)
             await asyncio.sleep(0.2)
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_turn_memory.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/turns/_turn_memory.py
@@ -144,7 +144,7 @@
         away = self.seconds_since_outage()
         if away is not None and away < keep_seconds:
             return True
-        return self._fleet.may_have_been_away(keep_seconds)
+        return self._fleet.any_store_outage_within(keep_seconds)
 
     def seconds_since_outage(self) -> float | None:
         """Return the seconds since this host last lacked the store.
@@ -191,7 +191,7 @@
             return False
         own = self._fleet.own
         copy = KeepCopy(key, transcript, seconds, own.ip, own.boot)
-        if self._fleet.is_alone() or not self.accept_copy(copy):
+        if self._fleet.is_partitioned() or not self.accept_copy(copy):
             return False
         n_wanted = min(self._n_copies, max(1, len(self._fleet.all())))
         n_kept = await self._send_copies(copy, n_wanted)
@@ -201,7 +201,7 @@
     async def _send_copies(self, copy, n_wanted) -> int:
         """Send a copy to hosts until enough hold it; return how many do."""
         n_kept = 0
-        peers = self._fleet.elsewhere()
+        peers = self._fleet.peers_other_zones_first()
         while peers and n_kept < n_wanted:
             n_missing = n_wanted - n_kept
             asked, peers = peers[:n_missing], peers[n_missing:]
@@ -283,7 +283,7 @@
             return True
         if now - self._store_restored_at < ORPHAN_DELAY_SECONDS:
             return False
-        return not self._fleet.is_running(turn.origin, turn.origin_boot)
+        return not self._fleet.is_same_process_heard(turn.origin, turn.origin_boot)
 
     async def _store_turn(self, key) -> bool:
         turn = self._unstored.get(key)
