--- a/packages/swifttide_core/src/swifttide_core/limits/_share_transfer.py
+++ b/packages/swifttide_core/src/swifttide_core/limits/_share_transfer.py
@@ -59,7 +59,7 @@
         Zone of this holder.
     zones : tuple of str
         All zones.
-    asked_per_second : mapping of str to float
+    demand_per_second : mapping of str to float
         Result of ``CustomerShare.demand_per_second``. The holder of another zone asks
         here only if its own share does not suffice, and only while it is alive.
     customer : Customer
