--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_token_lender.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_token_lender.py
@@ -139,7 +139,7 @@
             await lock.acquire()
             release = asyncio.create_task(owner.lender.release(KEY_OF_PROGRAM, 300))
             await asyncio.sleep(0.1)
-            owner.shares._giving_up |= {slot}
+            owner.shares._released_slots |= {slot}
             lock.release()
             return await release
 
