--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_share_allocator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/rates/_share_allocator.py
@@ -91,7 +91,7 @@
     fleet : Fleet
         A process that restarts at this host's address takes over the entry of its
         predecessor, because two processes cannot run at one address.
-    rates : RateKeeper
+    rates : RateLimiter
     log : EventLog
     may_release_slots : callable
         Returns whether no tokens are lent from this host's slots.
