--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_gateway.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_gateway.py
@@ -16,7 +16,7 @@
 from swifttide_daemon.gateway.budgets._budget_keeper import BudgetKeeper
 from swifttide_daemon.gateway.budgets._lending_record import (
     LendingRecord,
-    record_period,
+    record_interval_seconds,
 )
 from swifttide_daemon.gateway.budgets._token_lender import TokenLender
 from swifttide_daemon.gateway.callers._admission import Admission
@@ -142,7 +142,7 @@
             log,
         )
         self._shares = ShareAllocator(
-            self._store, self._fleet, self._rates, log, self._record.may_give_up
+            self._store, self._fleet, self._rates, log, self._record.may_release_slots
         )
         self._order = OrderKeeper(
             self._fleet,
@@ -187,12 +187,12 @@
         )
         self._lender = TokenLender(
             lambda: self._shares.slots,
-            self._record.lends_in,
-            self._record.is_in_doubt,
+            self._record.seconds_until_lending,
+            self._record.may_have_unknown_loans,
             lambda: not self._store.is_reachable,
             self._peer_service.collect_tokens,
             self._budgets.charge,
-            self._record.tell,
+            self._record.write,
             log,
         )
         self._turns = turns = TurnKeeper(
@@ -202,7 +202,7 @@
             self._peers,
             cfg.turn_copies,
             lambda: self._store.is_reachable,
-            self._record.is_certain,
+            self._record.has_no_unknown_loans,
             self._reaper,
             log,
         )
@@ -318,7 +318,7 @@
     def _record_period(self) -> float:
         """Return the seconds between writes of the lending record, by fleet size."""
         n_hosts = min(MAX_HOLDERS, len(self._fleet.all()) + 1)
-        return record_period(n_hosts, self._cfg.store_writes_per_second)
+        return record_interval_seconds(n_hosts, self._cfg.store_writes_per_second)
 
     def _may_reuse_connections(self) -> bool:
         """Whether callers may send further requests on their connections."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_status_pages.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_status_pages.py
@@ -93,7 +93,7 @@
         set_belief("rate_share", self._rates.share)
         set_belief("program_share", self._entry.min_admitted_fraction())
         set_belief("store_up", float(self._store.direct_up))
-        set_belief("slots_lending", len(self._lender.slots()))
+        set_belief("slots_lending", len(self._lender.lending_slots()))
         set_belief("isolated", float(self._isolation.active))
         body, content_type = self._metrics.render()
         return StatusPage(OK.status, body, content_type)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_account_rows.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_account_rows.py
@@ -48,7 +48,7 @@
     return account, row.mark
 
 
-def account_place(key: str) -> RowKey:
+def account_row_key(key: str) -> RowKey:
     """Return where the account of a program lies, by the program's key.
 
     256 parts: each takes a few hundred transactions a second at most.
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_lending_record.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_lending_record.py
@@ -23,25 +23,25 @@
 
 TABLE = "lending"
 
-PERIOD_SECONDS = 0.3
+MIN_RECORD_INTERVAL_SECONDS = 0.3
 """Between records at least: a write each, 37 a second for eleven hosts."""
 
-PART_OF_WRITES = 0.05
+RECORD_WRITES_FRACTION = 0.05
 """Of what the store takes, for the records of all hosts: with more hosts, or a smaller
 store, each writes more rarely."""
 
-WAIT_PERIODS = 4.0
+LENDING_DELAY_INTERVALS = 4.0
 """A host lends when it has written no record for so many periods: one that was killed
 is back sooner."""
 
-MAX_RELEASED = 500
+MAX_RECORDED_PROGRAMS = 500
 """Programs listed in a record, 35 bytes each; with more, a successor doesn't lend."""
 
-RETRY_SECONDS = 0.2
+READ_RETRY_SECONDS = 0.2
 """Pause before the record is read again while the store is away."""
 
 
-def record_period(n_hosts: int, writes_per_second: float) -> float:
+def record_interval_seconds(n_hosts: int, writes_per_second: float) -> float:
     """Return the seconds between records of each host.
 
     Parameters
@@ -50,7 +50,10 @@
     writes_per_second : float
         That the store takes from all hosts together.
     """
-    return max(PERIOD_SECONDS, n_hosts / (PART_OF_WRITES * writes_per_second))
+    return max(
+        MIN_RECORD_INTERVAL_SECONDS,
+        n_hosts / (RECORD_WRITES_FRACTION * writes_per_second),
+    )
 
 
 class LendingRecord:
@@ -80,70 +83,81 @@
         is_reachable: Callable[[], bool],
         lender: Callable[[], TokenLender],
         owns_slots: Callable[[], bool],
-        period: Callable[[], float],
+        interval_seconds: Callable[[], float],
         log: EventLog,
     ):
         self._store = store
         self._is_reachable = is_reachable
         self._lender = lender
         self._owns_slots = owns_slots
-        self._period = period
-        self._wait_ms = 0
+        self._interval_seconds = interval_seconds
+        self._lending_delay_ms = 0
         # A part for each host: one part takes few transactions a second.
-        self._place = RowKey(TABLE, own_ip, own_ip)
+        self._row_key = RowKey(TABLE, own_ip, own_ip)
         self._log = log
         self._version = 0
-        self._is_known = False
-        self._told_ms: int | None = None
+        self._has_read_predecessor = False
+        self._last_write_ms: int | None = None
         self._barred_until_ms = 0
         self._closed = False
         self._writing = asyncio.Lock()
-        self._clock_ahead_ms = 0
+        self._store_clock_offset_ms = 0
 
-    def lends_in(self) -> float | None:
+    def seconds_until_lending(self) -> float | None:
         """Return the seconds until tokens may be lent; None if that isn't foreseen."""
-        if self._told_ms is None or self._closed or not self.is_certain():
+        if (
+            self._last_write_ms is None
+            or self._closed
+            or not self.has_no_unknown_loans()
+        ):
             return None
-        return max(0, self._told_ms + self._wait_ms - self._now_ms) / 1000
+        return (
+            max(0, self._last_write_ms + self._lending_delay_ms - self._store_now_ms)
+            / 1000
+        )
 
-    def may_give_up(self) -> bool:
+    def may_release_slots(self) -> bool:
         """Whether nothing can have been lent here, by a predecessor neither."""
         lender = self._lender()
-        return self.is_certain() and not (lender.has_open() or lender.released())
+        return self.has_no_unknown_loans() and not (
+            lender.has_uncharged_loans() or lender.released_programs()
+        )
 
-    def is_certain(self) -> bool:
+    def has_no_unknown_loans(self) -> bool:
         """Whether no predecessor can have served anything that no row has."""
-        return self._is_known and self._now_ms >= self._barred_until_ms
+        return (
+            self._has_read_predecessor and self._store_now_ms >= self._barred_until_ms
+        )
 
-    def is_in_doubt(self) -> bool:
+    def may_have_unknown_loans(self) -> bool:
         """Whether a predecessor may have served something that no row has."""
-        return self._is_known and self._now_ms < self._barred_until_ms
+        return self._has_read_predecessor and self._store_now_ms < self._barred_until_ms
 
     async def run(self) -> None:
         """Keep the record until cancelled."""
-        await self._take_over()
+        await self._read_predecessor_record()
         while True:
             # A record that is sent may take effect: from then on the wait begins anew.
             if self._is_reachable():
-                await self._keep()
-            await asyncio.sleep(self._period() * random.uniform(0.9, 1.1))
+                await self._renew()
+            await asyncio.sleep(self._interval_seconds() * random.uniform(0.9, 1.1))
 
-    async def _keep(self):
+    async def _renew(self):
         if self._owns_slots():
-            await self.tell()
-        elif self._told_ms is not None and await self.tell():
+            await self.write()
+        elif self._last_write_ms is not None and await self.write():
             # Others own what was this host's, and its record says so.
-            self._told_ms = None
+            self._last_write_ms = None
 
     async def close(self) -> None:
         """Record that nothing will be lent any more."""
         self._closed = True
-        if self._told_ms is not None:
-            await self.tell()
+        if self._last_write_ms is not None:
+            await self.write()
 
-    async def _take_over(self):
+    async def _read_predecessor_record(self):
         # Earlier releases kept all records in the empty part.
-        for part in ("", self._place.part):
+        for part in ("", self._row_key.part):
             found = await self._read(part)
             self._set_clock(found.now_ms)
             self._version = 0
@@ -152,31 +166,32 @@
                 before = _decode(row)
                 barred = before.successor_barred_until(found.now_ms)
                 self._barred_until_ms = max(self._barred_until_ms, barred)
-                self._lender().remember(before.released)
-        self._is_known = True
-        if self._barred_until_ms > self._now_ms:
+                self._lender().restore_released_programs(before.released)
+        self._has_read_predecessor = True
+        if self._barred_until_ms > self._store_now_ms:
             self._log.warning("lending_barred", until_ms=self._barred_until_ms)
 
     async def _read(self, part) -> Rows:
-        key = self._place.key
+        key = self._row_key.key
         while True:
             found = await self._store.read(TABLE, part, key, key + "\0")
             if isinstance(found, Rows):
                 return found
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(READ_RETRY_SECONDS)
 
-    async def tell(self) -> bool:
+    async def write(self) -> bool:
         """Write the record as it is now; return whether that is known to stand."""
         async with self._writing:
-            told_ms = self._now_ms
+            told_ms = self._store_now_ms
             # Noted before it is sent: it may take effect though its answer is lost.
-            self._told_ms = told_ms
-            self._wait_ms = max(
-                MIN_LENDING_DELAY_MS, int(1000 * WAIT_PERIODS * self._period())
+            self._last_write_ms = told_ms
+            self._lending_delay_ms = max(
+                MIN_LENDING_DELAY_MS,
+                int(1000 * LENDING_DELAY_INTERVALS * self._interval_seconds()),
             )
             tx = Transaction(
-                conditions=(Condition(self._place, self._version),),
-                puts=(Put(self._place, msgspec.json.encode(self._state(told_ms))),),
+                conditions=(Condition(self._row_key, self._version),),
+                puts=(Put(self._row_key, msgspec.json.encode(self._state(told_ms))),),
             )
             match await self._store.commit(tx):
                 case Applied(version, now_ms):
@@ -188,27 +203,33 @@
                     self._version = max((row.version for row in rows), default=0)
             return False
 
-    def _state(self, told_ms) -> LendingState:
+    def _state(self, now_ms) -> LendingState:
         lender = self._lender()
-        released = lender.released()
+        released = lender.released_programs()
         barred = self._barred_until_ms
-        if lender.has_open() or len(released) > MAX_RELEASED:
-            barred = LendingState(0).successor_barred_until(told_ms)
-        closed = self._closed or not (self._owns_slots() or lender.has_open())
+        if lender.has_uncharged_loans() or len(released) > MAX_RECORDED_PROGRAMS:
+            barred = LendingState(0).successor_barred_until(now_ms)
+        closed = self._closed or not (
+            self._owns_slots() or lender.has_uncharged_loans()
+        )
         return LendingState(
-            told_ms, self._wait_ms, barred, closed, released[:MAX_RELEASED]
+            now_ms,
+            self._lending_delay_ms,
+            barred,
+            closed,
+            released[:MAX_RECORDED_PROGRAMS],
         )
 
     def _set_clock(self, now_ms):
-        self._clock_ahead_ms = now_ms - _own_ms()
+        self._store_clock_offset_ms = now_ms - _monotonic_ms()
 
     @property
-    def _now_ms(self):
+    def _store_now_ms(self):
         """The store's clock, as far as this host can tell; never ahead of it."""
-        return _own_ms() + self._clock_ahead_ms
+        return _monotonic_ms() + self._store_clock_offset_ms
 
 
-def _own_ms():
+def _monotonic_ms():
     return int(asyncio.get_running_loop().time() * 1000)
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_reservation.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_reservation.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True)
-class KnownProgram:
+class LocalProgramBudget:
     """What one host knows of a program's budget."""
 
     pool: TokenPool = field(default_factory=TokenPool)
@@ -33,6 +33,6 @@
         where they end.
     """
 
-    program: KnownProgram
-    most: int
-    is_cut: bool = False
+    program: LocalProgramBudget
+    tokens: int
+    is_partial: bool = False
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_token_lender.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_token_lender.py
@@ -27,7 +27,7 @@
     outage_reserve,
     slot_of,
 )
-from swifttide_daemon.gateway.budgets._budget_keeper import Collect
+from swifttide_daemon.gateway.budgets._budget_keeper import CollectTokens
 from swifttide_daemon.gateway.peers._peer_messages import AskTokens, HandSlots, Loan
 from swifttide_daemon.telemetry import EventLog
 
@@ -35,10 +35,10 @@
 """Programs whose loans are remembered, some 300 bytes each; beyond, none are made. One
 that was forgotten could be made twice."""
 
-CHARGE_PAUSE_SECONDS = 0.1
+CHARGE_INTERVAL_SECONDS = 0.1
 """Between looks whether the store is back."""
 
-Charge = Callable[[str, Loan], Awaitable[ProgramAccount | None]]
+ChargeLoan = Callable[[str, Loan], Awaitable[ProgramAccount | None]]
 """Takes a program's key and what was lent to it; returns the account as written, None
 when it wasn't."""
 
@@ -69,44 +69,46 @@
     def __init__(
         self,
         own_slots: Callable[[], frozenset[int]],
-        lends_in: Callable[[], float | None],
-        is_in_doubt: Callable[[], bool],
-        is_store_away: Callable[[], bool],
-        collect: Collect,
-        charge: Charge,
-        record: Callable[[], Awaitable[bool]],
+        seconds_until_lending: Callable[[], float | None],
+        may_have_unknown_loans: Callable[[], bool],
+        is_store_unavailable: Callable[[], bool],
+        collect: CollectTokens,
+        charge: ChargeLoan,
+        write_record: Callable[[], Awaitable[bool]],
         log: EventLog,
     ):
         self._own_slots = own_slots
-        self._lends_in = lends_in
-        self._is_in_doubt = is_in_doubt
-        self._is_store_away = is_store_away
+        self._seconds_until_lending = seconds_until_lending
+        self._may_have_unknown_loans = may_have_unknown_loans
+        self._is_store_unavailable = is_store_unavailable
         self._collect = collect
         self._charge = charge
-        self._record = record
+        self._write_record = write_record
         self._log = log
         self._loans: dict[str, Loan] = {}
         self._locks = tuple(asyncio.Lock() for _ in range(N_SLOTS))
-        self._handed: dict[int, float] = {}
+        self._taken_over_slots: dict[int, float] = {}
         self._stopped = False
 
-    def slots(self) -> frozenset[int]:
+    def lending_slots(self) -> frozenset[int]:
         """Return the slots from which this host lends now."""
-        if self._stopped or not self._is_store_away():
+        if self._stopped or not self._is_store_unavailable():
             return frozenset()
-        own = self._own_slots() if self._lends_in() == 0 else frozenset()
+        own = self._own_slots() if self._seconds_until_lending() == 0 else frozenset()
         now = asyncio.get_running_loop().time()
-        return own | {slot for slot, since in self._handed.items() if now >= since}
+        return own | {
+            slot for slot, since in self._taken_over_slots.items() if now >= since
+        }
 
-    def has_open(self) -> bool:
+    def has_uncharged_loans(self) -> bool:
         """Whether something was lent that isn't charged to its account yet."""
         return any(loan.lent for loan in self._loans.values())
 
-    def released(self) -> tuple[str, ...]:
+    def released_programs(self) -> tuple[str, ...]:
         """Return the programs to which nothing may be lent."""
         return tuple(k for k, loan in self._loans.items() if loan.released)
 
-    def remember(self, released: tuple[str, ...]) -> None:
+    def restore_released_programs(self, released: tuple[str, ...]) -> None:
         """Take over from a predecessor to which programs nothing may be lent."""
         for key in released:
             self._loans.setdefault(key, Loan(0, released=True))
@@ -118,9 +120,9 @@
                 # Looked up under the lock: given up meanwhile, the slot's next owner
                 # would lend to the program without knowing of this.
                 return ReleaseVerdict.LATER
-            if self._is_in_doubt():
+            if self._may_have_unknown_loans():
                 return ReleaseVerdict.DOUBTFUL
-            if self._lends_in() is None:
+            if self._seconds_until_lending() is None:
                 return ReleaseVerdict.LATER
             loan = self._loans.get(key)
             if loan is not None and loan.lent:
@@ -130,7 +132,7 @@
                 loan = self._loans[key] = Loan(budget)
             # Before it is written: whatever becomes of that, nothing is lent.
             loan.released, loan.left = True, 0
-            stands = await self._record()
+            stands = await self._write_record()
         return ReleaseVerdict.RELEASED if stands else ReleaseVerdict.LATER
 
     def _lock(self, key) -> asyncio.Lock:
@@ -139,22 +141,22 @@
     async def lend(self, ask: AskTokens) -> int:
         """Return tokens for a turn: those that other hosts have free, or a loan."""
         key = ask.program
-        if slot_of(key) not in self.slots():
+        if slot_of(key) not in self.lending_slots():
             return 0
         async with self._lock(key):
             loan = self._loans.get(key)
             holders = (tuple(loan.holders) if loan else ()) or None
             tokens = await self._collect(key, holders, ask.asker)
-            if slot_of(key) not in self.slots():
+            if slot_of(key) not in self.lending_slots():
                 # Handed to another host meanwhile, or the store is back.
                 return tokens
             if loan is None:
-                loan = self._open(key, ask)
+                loan = self._open_loan(key, ask)
             if loan is not None:
                 tokens += self._lend_more(key, loan, ask, tokens)
         return tokens
 
-    def _open(self, key, ask) -> Loan | None:
+    def _open_loan(self, key, ask) -> Loan | None:
         if len(self._loans) >= MAX_LOANS:
             self._log.warning("too_many_loans", program=key)
             return None
@@ -162,9 +164,9 @@
         loan = self._loans[key] = Loan(ask.budget, held, held + ask.most)
         return loan
 
-    def _lend_more(self, key, loan, ask, found) -> int:
+    def _lend_more(self, key, loan, ask, found_tokens) -> int:
         loan.holders = sorted({*loan.holders, ask.asker})
-        if found >= ask.need:
+        if found_tokens >= ask.need:
             return 0
         tokens = min(loan.left, max(ask.need, ask.most))
         loan.left -= tokens
@@ -177,16 +179,16 @@
     async def run(self) -> None:
         """Charge loans to their accounts whenever the store is back."""
         while True:
-            await asyncio.sleep(CHARGE_PAUSE_SECONDS)
-            if self._is_store_away():
+            await asyncio.sleep(CHARGE_INTERVAL_SECONDS)
+            if self._is_store_unavailable():
                 continue
-            self._handed.clear()
+            self._taken_over_slots.clear()
             for key in list(self._loans):
                 async with self._lock(key):
                     if key in self._loans:
-                        await self._settle(key, self._loans[key])
+                        await self._charge_loan(key, self._loans[key])
 
-    async def _settle(self, key, loan):
+    async def _charge_loan(self, key, loan):
         if loan.released:
             return
         if not loan.lent:
@@ -208,11 +210,14 @@
 
     def hand_over(self) -> HandSlots | None:
         """Stop lending; return what another host needs to go on, None if nothing."""
-        if self._stopped or not self._is_store_away():
+        if self._stopped or not self._is_store_unavailable():
             return None
         now = asyncio.get_running_loop().time()
-        waits = {slot: max(0.0, since - now) for slot, since in self._handed.items()}
-        if self._lends_in() == 0:
+        waits = {
+            slot: max(0.0, since - now)
+            for slot, since in self._taken_over_slots.items()
+        }
+        if self._seconds_until_lending() == 0:
             # Not sooner: this host's record would still tell its next process that
             # nothing can have been lent.
             waits |= dict.fromkeys(self._own_slots(), 0.0)
@@ -222,11 +227,13 @@
 
     def take_over(self, handed: HandSlots) -> bool:
         """Go on for a host that stops; return whether this host does."""
-        if self._stopped or not self._is_store_away():
+        if self._stopped or not self._is_store_unavailable():
             return False
         now = asyncio.get_running_loop().time()
         self._loans.update(handed.loans)
-        self._handed |= {slot: now + wait for slot, wait in handed.waits.items()}
+        self._taken_over_slots |= {
+            slot: now + wait for slot, wait in handed.waits.items()
+        }
         self._log.info(
             "slots_taken_over", slots=sorted(handed.waits), loans=len(handed.loans)
         )
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
@@ -196,7 +196,7 @@
         turn = req.turn
         if not turn.program or not turn.budget_tokens or turn.previous:
             return False
-        return not self._budgets.knows(customer, turn.program)
+        return not self._budgets.has_served(customer, turn.program)
 
     async def _check_program_entry(self, req, customer, service, homes):
         """Refuse a new program while the targets have no capacity for it.
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_answer_relay.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_answer_relay.py
@@ -152,7 +152,7 @@
         may generate.
         """
         reserved = job.reservation
-        if reserved is None or not reserved.is_cut:
+        if reserved is None or not reserved.is_partial:
             return
         if (progress.n_events + 1) * job.service.tokens_per_event > reserved.most:
             raise Refusal(502, "tokens_used_up_in_outage")
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_exchange.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_exchange.py
@@ -79,7 +79,7 @@
             target_change=self._targets_watch.newest_change,
             outstanding=self._health.own_counts(),
             strikes=self._strikes.news()[:MAX_STRIKES_PER_BEACON],
-            lending=sorted(self._lender.slots()),
+            lending=sorted(self._lender.lending_slots()),
             pause_seconds=pause_seconds,
             cores=own.cores,
         )
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_peer_service.py
@@ -174,7 +174,7 @@
         """
         slot = slot_of(ask.program)
         lender = self._lender()
-        if slot in lender.slots():
+        if slot in lender.lending_slots():
             return await lender.lend(ask)
         peer = self._fleet.lender_of(slot)
         if peer is None:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_lending_fleet.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_lending_fleet.py
@@ -16,19 +16,19 @@
 from swifttide_daemon.gateway.tests._hosts import InProcessPeerClient, make_peer_service
 from swifttide_standins.paused_clock import run_paused
 
-MOST = 30
+MAX_TURN_TOKENS = 30
 CUSTOMER, PROGRAM = "c", "p"
-KEY_OF_PROGRAM = program_key(CUSTOMER, PROGRAM)
+PROGRAM_KEY = program_key(CUSTOMER, PROGRAM)
 
 
-class Rates:
+class StubRates:
     """Holds the share that a host uses."""
 
     def __init__(self):
         self.share = 0.0
 
 
-class HostStore:
+class PartitionableStore:
     """The store as one host reaches it."""
 
     def __init__(self, store):
@@ -55,7 +55,7 @@
 
     def __init__(self, fleet, ip):
         self.fleet, self.ip = fleet, ip
-        self.store = HostStore(fleet.store)
+        self.store = PartitionableStore(fleet.store)
         log = fleet.log
         self.record = LendingRecord(
             self.store,
@@ -68,7 +68,7 @@
         )
         own = HeardHosts(Peer(ip, 1, "zone-a", ip + "-boot"), log)
         self.shares = ShareAllocator(
-            self.store, own, Rates(), log, self.record.may_give_up
+            self.store, own, StubRates(), log, self.record.may_release_slots
         )
         self.peers, self.view = make_peer_service(
             ip,
@@ -91,12 +91,12 @@
         )
         self.lender = TokenLender(
             lambda: self.shares.slots,
-            self.record.lends_in,
-            self.record.is_in_doubt,
+            self.record.seconds_until_lending,
+            self.record.may_have_unknown_loans,
             lambda: not self.store.reachable,
             self.peers.collect_tokens,
             self.budgets.charge,
-            self.record.tell,
+            self.record.write,
             log,
         )
         self.tasks = [
@@ -127,7 +127,7 @@
     def lender_of(self, slot):
         """Return the host that says in its beacons that it lends from a slot."""
         for host in self.fleet.reached_by(self):
-            if slot in host.lender.slots():
+            if slot in host.lender.lending_slots():
                 return Peer(host.ip, 1, "zone-a", "")
         return None
 
@@ -171,12 +171,12 @@
         """Run a turn; return what it generated, None when it was refused."""
         try:
             reservation = await host.budgets.reserve(
-                "r", CUSTOMER, PROGRAM, budget, MOST
+                "r", CUSTOMER, PROGRAM, budget, MAX_TURN_TOKENS
             )
         except Refusal:
             return None
         await asyncio.sleep(0.05)
-        generated = min(generated, reservation.most)
+        generated = min(generated, reservation.tokens)
         host.budgets.settle(reservation, generated)
         return generated
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_budget_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_budget_keeper.py
@@ -12,7 +12,7 @@
 from swifttide_daemon.gateway.tests._hosts import InProcessPeerClient, make_peer_service
 from swifttide_standins.paused_clock import run_paused
 
-MOST = 30
+MAX_TURN_TOKENS = 30
 
 
 class Hosts:
@@ -58,26 +58,26 @@
         return list(self.keepers.values())[number % len(self.keepers)]
 
 
-handed_out: list[int] = []
+generated_tokens: list[int] = []
 """Tokens of each turn that ran."""
 
 
 async def run_turn(keeper, budget, generated):
     """Run a turn that generates some tokens at most; return its status."""
     try:
-        reservation = await keeper.reserve("r", "c", "p", budget, MOST)
+        reservation = await keeper.reserve("r", "c", "p", budget, MAX_TURN_TOKENS)
     except Refusal as refusal:
         return refusal.status
     await asyncio.sleep(0.05)
     # A turn is broken off where its tokens end.
-    generated = min(generated, reservation.most)
+    generated = min(generated, reservation.tokens)
     keeper.settle(reservation, generated)
-    handed_out.append(generated)
+    generated_tokens.append(generated)
     return 200
 
 
 class TestBudget:
-    def test_stays_with_a_program_that_moves_between_hosts(self, store, log):
+    def test_tokens_follow_program_between_hosts(self, store, log):
         """Each turn of a program arrives at another host.
 
         The tokens that earlier hosts hold and don't need move along; without them the
@@ -100,7 +100,7 @@
         assert statuses == [200] * 10
         assert n_commits <= 2
 
-    def test_refuses_while_the_store_is_away(self, store, log):
+    def test_refuses_new_program_while_store_is_unavailable(self, store, log):
         async def main():
             hosts = Hosts(store, log, 1)
             store.down = True
@@ -108,7 +108,9 @@
 
         assert run_paused(main()) == 503
 
-    def test_goes_on_from_its_tokens_while_the_store_is_away(self, store, log):
+    def test_admits_turns_from_local_tokens_while_store_is_unavailable(
+        self, store, log
+    ):
         async def main():
             hosts = Hosts(store, log, 1)
             first = await run_turn(hosts.any(0), 300, 10)
@@ -117,7 +119,7 @@
 
         assert run_paused(main()) == [200] * 6
 
-    def test_lost_answer_is_read_back(self, store, log):
+    def test_reads_account_after_lost_answer(self, store, log):
         """The store grants tokens and its answer is lost.
 
         Taken for a failure, the tokens would be lost to the program; counted without
@@ -134,7 +136,7 @@
         assert statuses[0] in (200, 503)
         assert statuses[1] == 200
 
-    def test_program_that_moves_costs_no_write(self, store, log):
+    def test_moving_program_causes_no_further_write(self, store, log):
         """Turns arrive at three hosts in turn; one grant of tokens follows them."""
 
         async def main():
@@ -144,7 +146,7 @@
 
         assert run_paused(main()) == ([200] * 9, 1)
 
-    def test_tokens_are_found_where_they_went(self, store, log):
+    def test_collects_tokens_that_moved_to_another_host(self, store, log):
         """A third host knows only who took the tokens first."""
 
         async def main():
@@ -158,7 +160,7 @@
         # Half of what may be granted, less three turns.
         assert run_paused(main()) == 112 - 30
 
-    def test_tokens_move_while_the_store_is_away(self, store, log):
+    def test_collects_tokens_while_store_is_unavailable(self, store, log):
         async def main():
             hosts = Hosts(store, log, 2)
             await run_turn(hosts.any(0), 300, 10)
@@ -170,18 +172,18 @@
         assert run_paused(main()) == 112 - 10
 
     @pytest.mark.parametrize("seed", range(40))
-    def test_holds_under_any_faults(self, store, log, seed):
+    def test_budget_is_not_exceeded_under_random_faults(self, store, log, seed):
         """Hosts die, writes land late, answers are lost, the store goes away.
 
         Whatever happens, a program that loops gets no more than its budget, and is
         stopped in the end.
         """
         rng = random.Random(seed)
-        budget = rng.randrange(MOST, 10 * MOST)
+        budget = rng.randrange(MAX_TURN_TOKENS, 10 * MAX_TURN_TOKENS)
 
         async def main():
             hosts = Hosts(store, log, 3)
-            handed_out.clear()
+            generated_tokens.clear()
             for _ in range(120):
                 store.down = rng.random() < 0.1
                 store.delay = rng.random() < 0.1
@@ -191,12 +193,12 @@
                 if rng.random() < 0.05:
                     hosts.start(rng.choice(list(hosts.keepers)))
                 turns = [
-                    (hosts.any(rng.randrange(9)), rng.randrange(MOST + 1))
+                    (hosts.any(rng.randrange(9)), rng.randrange(MAX_TURN_TOKENS + 1))
                     for _ in range(rng.randrange(1, 4))
                 ]
                 await asyncio.gather(
                     *(run_turn(keeper, budget, used) for keeper, used in turns)
                 )
-            return sum(handed_out)
+            return sum(generated_tokens)
 
         assert run_paused(main()) <= budget
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_token_lender.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_token_lender.py
@@ -9,8 +9,8 @@
 from swifttide_core.budgets import ReleaseVerdict, slot_of
 from swifttide_daemon.gateway.peers._peer_messages import AskTokens
 from swifttide_daemon.gateway.tests._lending_fleet import (
-    KEY_OF_PROGRAM,
-    MOST,
+    MAX_TURN_TOKENS,
+    PROGRAM_KEY,
     run_fleet,
 )
 
@@ -21,7 +21,7 @@
 
 
 class TestOutage:
-    def test_new_program_runs_while_the_store_is_away(self, play, store):
+    def test_new_program_is_served_while_store_is_unavailable(self, play, store):
         """The store goes down for all hosts, and a program begins.
 
         Its turns arrive at several hosts. None of them has a row for it; refused
@@ -34,7 +34,7 @@
             turns = [await fleet.turn(fleet.any(), 300, 8) for _ in range(8)]
             store.down = False
             await asyncio.sleep(2.0)
-            rows = store.rows.range("budgets", KEY_OF_PROGRAM[:2], "", "")
+            rows = store.rows.range("budgets", PROGRAM_KEY[:2], "", "")
             return turns, rows
 
         turns, rows = play(scenario)
@@ -55,7 +55,7 @@
 
         assert play(scenario) is None
 
-    def test_killed_lender_is_not_followed_by_another(self, play, store):
+    def test_restarted_lender_does_not_lend(self, play, store):
         """The host that lends dies in the outage with the memory of what it lent.
 
         Its next process would lend the same once more, and a program that loops
@@ -72,11 +72,11 @@
             await asyncio.sleep(2.0)
             store.down = True
             await asyncio.sleep(2.0)
-            return [host.lender.slots() for host in fleet.hosts.values()]
+            return [host.lender.lending_slots() for host in fleet.hosts.values()]
 
         assert play(scenario) == [frozenset()] * 4
 
-    def test_hosts_killed_while_the_store_is_there_lend_afterwards(self, play, store):
+    def test_hosts_restarted_while_store_is_available_lend_later(self, play, store):
         """All processes are killed and back in 0.8 s, and later the store goes down.
 
         Nothing can have been lent before; without that knowledge no new program
@@ -92,27 +92,29 @@
             await asyncio.sleep(3.0)
             store.down = True
             await asyncio.sleep(2.0)
-            return sum(len(host.lender.slots()) for host in fleet.hosts.values())
+            return sum(
+                len(host.lender.lending_slots()) for host in fleet.hosts.values()
+            )
 
         assert play(scenario) == 64
 
-    def test_slots_of_a_host_that_stops_go_to_another(self, play, store):
+    def test_stopping_host_hands_its_slots_over(self, play, store):
         """Hosts are replaced one after the other while the store is away."""
 
         async def scenario(fleet):
             store.down = True
             await asyncio.sleep(2.0)
             first, second, *_ = fleet.hosts.values()
-            before = first.lender.slots()
+            before = first.lender.lending_slots()
             assert second.lender.take_over(first.lender.hand_over())
-            return before, first.lender.slots(), second.lender.slots()
+            return before, first.lender.lending_slots(), second.lender.lending_slots()
 
         before, first, second = play(scenario)
         assert before
         assert not first
         assert before < second
 
-    def test_slots_are_not_handed_over_before_they_may_be_lent_from(self, play, store):
+    def test_slots_are_not_handed_over_before_lending_is_allowed(self, play, store):
         """A host stops just as the store goes away, and is back at once.
 
         Its record is fresh, so its next process lends; another host that had taken
@@ -126,18 +128,18 @@
 
         assert play(scenario) is None
 
-    def test_slot_given_up_while_a_release_waits(self, play, store):
+    def test_slot_given_up_while_reserve_release_waits(self, play, store):
         """A release waits for the lock of a slot that goes to another host meanwhile.
 
         Said to be sure, the last quarter would be granted and lent as well.
         """
 
         async def scenario(fleet):
-            slot = slot_of(KEY_OF_PROGRAM)
+            slot = slot_of(PROGRAM_KEY)
             owner = next(h for h in fleet.hosts.values() if slot in h.shares.slots)
-            lock = owner.lender._lock(KEY_OF_PROGRAM)
+            lock = owner.lender._lock(PROGRAM_KEY)
             await lock.acquire()
-            release = asyncio.create_task(owner.lender.release(KEY_OF_PROGRAM, 300))
+            release = asyncio.create_task(owner.lender.release(PROGRAM_KEY, 300))
             await asyncio.sleep(0.1)
             owner.shares._released_slots |= {slot}
             lock.release()
@@ -145,14 +147,14 @@
 
         assert play(scenario) is ReleaseVerdict.LATER
 
-    def test_last_quarter_is_granted_once_the_owner_lends_no_more(self, play):
+    def test_reserve_is_granted_after_slot_owner_releases_it(self, play):
         async def scenario(fleet):
             host = fleet.any()
             return [await fleet.turn(host, 100, 10) for _ in range(9)]
 
         assert play(scenario) == [10] * 8 + [None]
 
-    def test_lender_that_dies_before_its_loans_are_charged(self, play, store):
+    def test_lender_restarted_before_charging_its_loans_is_barred(self, play, store):
         """The store is back, and a host dies before it has charged what it lent.
 
         Its next process finds a fresh record, but must not lend the same again.
@@ -168,7 +170,9 @@
             for ip in list(fleet.hosts):
                 fleet.start(ip)
             await asyncio.sleep(1.0)
-            return sorted(host.record.is_certain() for host in fleet.hosts.values())
+            return sorted(
+                host.record.has_no_unknown_loans() for host in fleet.hosts.values()
+            )
 
         # The one that lent is barred; the others had nothing to hide.
         assert play(scenario) == [False, True, True, True]
@@ -180,15 +184,15 @@
             owner = next(
                 host
                 for host in fleet.hosts.values()
-                if slot_of(KEY_OF_PROGRAM) in host.shares.slots
+                if slot_of(PROGRAM_KEY) in host.shares.slots
             )
             await fleet.turn(owner, 300, 8)
             store.down = True
             await asyncio.sleep(2.0)
-            found = AskTokens(KEY_OF_PROGRAM, 300, 1, MOST, "h9")
+            found = AskTokens(PROGRAM_KEY, 300, 1, MAX_TURN_TOKENS, "h9")
             assert await owner.lender.lend(found) > 0
             store.down = False
-            verdict = await owner.lender.release(KEY_OF_PROGRAM, 300)
+            verdict = await owner.lender.release(PROGRAM_KEY, 300)
             assert verdict is ReleaseVerdict.RELEASED
             store.down = True
             await asyncio.sleep(2.0)
@@ -197,28 +201,31 @@
         assert play(scenario) == 0
 
     @pytest.mark.parametrize("seed", range(60))
-    def test_budget_holds_under_any_faults(self, play, store, seed):
+    def test_budget_is_not_exceeded_under_random_faults(self, play, store, seed):
         """Outages, cuts, kills, hand-overs, lost answers and late writes together.
 
         A program that loops through all of it gets its budget and one turn's most.
         """
         rng = random.Random(seed)
-        budget = rng.randrange(MOST, 12 * MOST)
+        budget = rng.randrange(MAX_TURN_TOKENS, 12 * MAX_TURN_TOKENS)
 
         async def scenario(fleet):
             fleet.loss = 0.05
             total = 0
             for _ in range(80):
-                self.disturb(fleet, store, rng)
+                self.inject_faults(fleet, store, rng)
                 hosts = [fleet.any() for _ in range(rng.randrange(1, 4))]
-                turns = [fleet.turn(h, budget, rng.randrange(MOST + 1)) for h in hosts]
+                turns = [
+                    fleet.turn(h, budget, rng.randrange(MAX_TURN_TOKENS + 1))
+                    for h in hosts
+                ]
                 total += sum(n or 0 for n in await asyncio.gather(*turns))
                 await asyncio.sleep(rng.choice((0.0, 0.2, 1.0, 3.0)))
             return total
 
-        assert play(scenario, seed=seed) <= budget + MOST
+        assert play(scenario, seed=seed) <= budget + MAX_TURN_TOKENS
 
-    def disturb(self, fleet, store, rng):
+    def inject_faults(self, fleet, store, rng):
         if rng.random() < 0.15:
             store.down = not store.down
         store.delay = rng.random() < 0.05
@@ -257,7 +264,7 @@
 
         assert play(scenario) == 0
 
-    def test_records_lie_in_parts_of_their_own(self, play, store):
+    def test_lending_records_are_in_separate_partitions(self, play, store):
         """Guards against records that wait for each other in one part."""
 
         async def scenario(fleet):
