--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/__init__.py
@@ -1,1 +1,1 @@
-"""Token budgets of programs: granted by rows, lent in an outage."""
+"""Token budgets of programs, granted through the store and lent during its outages."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_account_rows.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_account_rows.py
@@ -1,4 +1,8 @@
-"""Accounts of programs as rows of the store."""
+"""Keys and encoding of the rows that hold the token accounts of programs.
+
+Each program has one row in the shared store, with its budget and the tokens that were
+granted to hosts.
+"""
 
 import hashlib
 
@@ -11,10 +15,11 @@
 
 
 class _AccountRow(msgspec.Struct):
-    """An account as it lies in the store.
+    """Account of a program as stored in its row.
 
-    ``mark`` names the last transaction. A host whose answer was lost sees by it
-    whether its own took effect.
+    ``mark`` is a random id of the transaction that wrote the row. A host that lost the
+    answer to its transaction compares the id to learn whether the transaction took
+    effect.
     """
 
     budget: int
@@ -23,11 +28,19 @@
     mark: str = ""
     released: bool = False
     held: int | None = None
-    """None in a row of an earlier release, which held back a quarter."""
+    """Size of the reserve for outages, in tokens. None in rows written by an earlier
+    release, which reserved a quarter of the budget."""
 
 
 def encode_account(account: ProgramAccount, mark: str) -> bytes:
-    """Return the value of an account's row."""
+    """Return the row value of an account.
+
+    Parameters
+    ----------
+    account : ProgramAccount
+    mark : str
+        Id of the transaction that writes the row.
+    """
     row = _AccountRow(
         account.budget,
         account.granted,
@@ -40,7 +53,7 @@
 
 
 def decode_account(value: bytes) -> tuple[ProgramAccount, str]:
-    """Return an account and the mark of the transaction that wrote it."""
+    """Return the account in a row value and the id of the transaction that wrote it."""
     row = msgspec.json.decode(value, type=_AccountRow)
     held = outage_reserve(row.budget, 0) if row.held is None else row.held
     holders = tuple(row.holders)
@@ -49,18 +62,19 @@
 
 
 def account_row_key(key: str) -> RowKey:
-    """Return where the account of a program lies, by the program's key.
+    """Return the key of the row that holds the account of a program.
 
-    256 parts: each takes a few hundred transactions a second at most.
+    The first two hexadecimal digits of the program key select one of 256 partitions,
+    because one partition executes at most a few hundred transactions per second.
     """
     return RowKey(TABLE, key[:2], key)
 
 
 def program_key(customer: str, program: str) -> str:
-    """Return the key of a program's account.
+    """Return the key of a program's account, a digest in hexadecimal notation.
 
-    A digest: ids come from callers, may be of any length, and two customers may use
-    the same one.
+    Program ids are not used directly, because callers choose them, they may be of any
+    length, and two customers may use the same id.
     """
     text = f"{customer}\0{program}".encode()
     return hashlib.blake2b(text, digest_size=16).hexdigest()
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_budget_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_budget_keeper.py
@@ -1,4 +1,11 @@
-"""Token budgets of programs, granted through the shared store."""
+"""Reservation of tokens for turns from the budgets of programs.
+
+Decides whether a turn of a program may start, from the tokens that this host holds for
+the program, the tokens of other hosts, and the account of the program in the shared
+store. Hosts acquire tokens from the account in advance, so that most turns need no
+access to the store. While the store is unavailable, missing tokens are borrowed from
+the host that owns the program's slot.
+"""
 
 import asyncio
 import uuid
@@ -41,53 +48,61 @@
 from swifttide_daemon.telemetry import EventLog
 
 MAX_GRANT_ATTEMPTS = 6
-"""Transactions for one grant; each conflict means that another host went ahead."""
+"""Attempts to acquire or charge tokens. Each conflict means that another host wrote the
+account in the meantime."""
 
 MAX_PROGRAMS = 20_000
-"""Programs whose pools are kept, some 500 bytes each."""
+"""Number of programs whose token pools are kept in memory, some 500 bytes each."""
 
 ACCOUNT_READ_TIMEOUT_SECONDS = 0.08
-"""Longest wait to learn whether a program has an account: refusals are to be told in
-a tenth of a second."""
+"""Timeout of the read that checks whether a program has an account. Requests have to be
+refused within 0.1 s."""
 
 ACCOUNT_RETENTION_SECONDS = 7_200.0
-"""How long an account is kept after its last change. Its tokens move between hosts
-without a write, and a program that was stopped may come back."""
+"""Time for which an account is kept after its last write. The program may be active
+without further writes, because tokens move between hosts without one, and a stopped
+program may continue later."""
 
 OUTAGE_RETRY_AFTER_SECONDS = 1.2
-"""When to come back while the store is away. An outage lasts seconds: who comes back
-sooner has used up its tries before the store is back."""
+"""Delay before a retry while the store is unavailable or hosts contend for an account.
+An outage lasts seconds, and a caller that retries sooner would use up its attempts
+before the store is back."""
 
 BUSY_RETRY_AFTER_SECONDS = 0.3
-"""When to come back while other turns of the program hold its tokens; one takes some
-300 ms."""
+"""Delay before a retry while other turns of the program hold its tokens, or while its
+reserve is not released yet. A turn takes some 300 ms."""
 
 
 CollectTokens = Callable[[str, tuple[str, ...] | None, str], Awaitable[int]]
-"""Takes a program's key, the hosts to ask (None: all) and the one that asks; returns
-the tokens that they handed over."""
+"""Collects the free tokens of a program from other hosts.
+
+Takes the key of the program, the addresses of the hosts to ask (None for all hosts) and
+the address of the host that asks. Returns the number of tokens that were handed over.
+"""
 
 
 class StoreUnavailable(Refusal):
-    """The account can't be read or written now."""
+    """The store gave no answer, so that an account could not be read or written."""
 
 
 class BudgetKeeper:
-    """Reserves and settles the tokens of turns.
+    """Reserves tokens for turns, and takes back the unused ones.
 
     Parameters
     ----------
     store : SharedStore
     host : str
-        Address of this host, under which others ask for its tokens.
+        Address of this host, used by other hosts to request its tokens.
     collect : callable
-        See `Collect`.
+        See `CollectTokens`.
     ask_lender : callable
-        Finds tokens while the store is away; returns how many.
+        Requests tokens from the host that lends to the program while the store is
+        unavailable. Returns the number of tokens.
     ask_release : callable
-        Takes a program's key and budget, and asks the owner of its slot to lend
-        nothing to it; returns a `ReleaseVerdict`.
+        Takes the key and the budget of a program, and asks the owner of the program's
+        slot to lend nothing to it any more. Returns a `ReleaseVerdict`.
     reaper : RowReaper
+        Removes the rows of accounts after their retention time.
     log : EventLog
     """
 
@@ -119,12 +134,28 @@
         budget: int,
         max_turn_tokens: int,
     ) -> Reservation:
-        """Set aside the most that a turn may generate.
+        """Reserve the tokens that a turn may generate.
+
+        Parameters
+        ----------
+        request_id : str
+        customer : str
+        program : str
+        budget : int
+            Tokens that all turns of the program may generate.
+        max_turn_tokens : int
+            Tokens that this turn may generate.
+
+        Returns
+        -------
+        Reservation
+            Partial only if the store is unavailable.
 
         Raises
         ------
         Refusal
-            402 when the budget doesn't hold the turn, 503 when that can't be known.
+            With status 402 if the remaining budget is too small for the turn, and with
+            status 503 if this cannot be determined now.
         """
         key = program_key(customer, program)
         known = self._get_or_add_program(key)
@@ -146,10 +177,10 @@
     async def _reserve_in_outage(
         self, request_id, key, known, budget, max_turn_tokens
     ) -> Reservation:
-        """Reserve tokens while the store is away: what is free here, or a loan.
+        """Reserve tokens while the store is unavailable, with a loan if necessary.
 
-        Only what a turn usually generates is set aside, so that the tokens at hand
-        carry more turns.
+        Only the usual size of a turn is reserved instead of its maximum, so that the
+        available tokens suffice for more turns.
         """
         need = self._turn_size_estimate.reservation_size(max_turn_tokens)
         if known.pool.free < need:
@@ -180,14 +211,15 @@
         return known
 
     def has_served(self, customer: str, program: str) -> bool:
-        """Whether turns of a program have been served here."""
+        """Whether this host has served turns of a program or read its account."""
         return program_key(customer, program) in self._programs
 
     async def has_account(self, customer: str, program: str) -> bool:
-        """Whether turns of a program have been served by any host.
+        """Whether any host has served turns of a program, according to the store.
 
-        Hosts that have started since, or that the program reaches for the first time,
-        know it only from its row. False also where the store doesn't say in time.
+        A host that started later, or that receives the first turn of the program, can
+        learn this only from the row of the account. Returns False as well if the store
+        does not answer within `ACCOUNT_READ_TIMEOUT_SECONDS`.
         """
         key = program_key(customer, program)
         found = LocalProgramBudget()
@@ -202,13 +234,13 @@
         return True
 
     def settle(self, reservation: Reservation, generated: int) -> None:
-        """Return what a turn didn't generate."""
+        """Take back the tokens of a reservation that the turn did not generate."""
         if generated:
             self._turn_size_estimate.update(generated)
         reservation.program.pool.settle(reservation.tokens, generated)
 
     def withdraw(self, key: str, asker: str) -> HandedTokens:
-        """Take out this host's free tokens of a program, for another host."""
+        """Remove the free tokens of a program from this host, for the host `asker`."""
         known = self._programs.get(key)
         if known is None:
             return HandedTokens(0)
@@ -216,15 +248,17 @@
         return HandedTokens(known.pool.withdraw(), moved_to)
 
     async def charge(self, key: str, loan: Loan) -> ProgramAccount | None:
-        """Charge tokens that were lent to an account.
+        """Charge lent tokens to the account of a program.
 
         Returns
         -------
         ProgramAccount or None
-            The account as written; None when that isn't known. Charged once more
-            then, the program has less than it might: never more.
+            The account as written; None if it is unknown whether the write took effect.
+            The caller then charges the loan again. At worst it is charged twice, which
+            leaves the program fewer tokens, never more.
         """
-        # Not what is known here: whoever holds its lock may be asking the caller.
+        # The cached state of the program is not used, because it would have to be
+        # locked, and the holder of its lock may be waiting for the caller (a deadlock).
         known = LocalProgramBudget()
         for _ in range(MAX_GRANT_ATTEMPTS):
             if not await self._read_account(key, known):
@@ -239,15 +273,16 @@
         return None
 
     async def _acquire_tokens(self, request_id, key, known, budget, max_turn_tokens):
-        """Get a turn's tokens: from hosts that hold some, else from the account."""
+        """Acquire tokens for a turn from other hosts, or else from the account."""
         asked: tuple[str, ...] = ()
         for _ in range(MAX_GRANT_ATTEMPTS):
             account = known.account or ProgramAccount.open(budget, max_turn_tokens)
             holders = {*account.holders, known.moved_to} - {self._host, ""}
             others = tuple(sorted(holders))
             if others != asked:
-                # A program that has moved left its tokens where it was: taken from
-                # there they cost no write, and a program in good order isn't stopped.
+                # A program that moved to this host left tokens at the previous hosts.
+                # Collecting them needs no write, and without them the program could
+                # be refused although its budget is not spent.
                 asked = others
                 known.pool.add(await self._collect(key, others, self._host))
                 if known.pool.free >= max_turn_tokens:
@@ -260,7 +295,7 @@
                         self._log_grant(request_id, known, tokens)
                         if known.pool.free >= max_turn_tokens:
                             return
-                        # Another host has taken what was free here meanwhile.
+                        # Another host has withdrawn free tokens in the meantime.
                 case Exhausted():
                     before = known.version
                     if not await self._read_account(key, known):
@@ -282,10 +317,16 @@
         )
 
     async def _release_reserve(self, request_id, key, known, account):
-        """Make what is held back grantable; raises `Refusal`, 402 if it is spent.
+        """Make the reserve of a program's budget available for grants.
+
+        If it is unknown whether the reserve was lent, it is charged as if it had been
+        lent, so that the account never shows fewer granted tokens than were used.
 
-        Where nobody can say that it wasn't lent, it is charged as if it had been: the
-        row then tells the truth for good.
+        Raises
+        ------
+        Refusal
+            With status 402 if there is no reserve left, and with status 503 if the
+            owner of the program's slot has not released it yet.
         """
         if not account.has_reserve:
             self._log.info(
@@ -313,10 +354,15 @@
                 raise Refusal(503, "budget_held_back", BUSY_RETRY_AFTER_SECONDS)
 
     async def _write_account(self, key, known, account) -> bool:
-        """Write an account under the version known; return whether it took effect.
+        """Write an account on condition that its row has the known version.
+
+        Returns whether the write took effect. After a conflict, `known` holds the
+        account that is stored.
 
-        On a conflict the account that stands there is taken in. Raises `StoreAway`
-        when the store gives no answer.
+        Raises
+        ------
+        StoreUnavailable
+            If the store gives no answer.
         """
         mark = uuid.uuid4().hex[:16]
         place = account_row_key(key)
@@ -332,8 +378,9 @@
             case Conflict(rows):
                 return self._apply_stored_account(known, rows, mark)
             case Unavailable():
-                # It may take effect later still. Then the version has moved on, and
-                # the next transaction of this host conflicts and reads the account.
+                # The transaction may still take effect later. The version of the row
+                # then differs from the known one, so that the next transaction of this
+                # host conflicts and reads the account.
                 raise StoreUnavailable(
                     503, "store_unavailable", OUTAGE_RETRY_AFTER_SECONDS
                 )
@@ -350,7 +397,10 @@
     def _apply_stored_account(
         self, known, rows: tuple[StoredRow, ...], mark: str
     ) -> bool:
-        """Take in the account that stands in the store; return whether it is ours."""
+        """Update `known` from the stored rows.
+
+        Returns whether the transaction with the id `mark` wrote the account.
+        """
         found = next((r for r in rows if r.value is not None), None)
         if found is None:
             known.account, known.version = None, 0
@@ -360,6 +410,9 @@
         return bool(mark) and found_mark == mark
 
     def _evict_oldest(self):
-        """Keep the memory bounded; tokens of forgotten pools stay spent."""
+        """Remove the oldest programs to bound the memory.
+
+        The free tokens of their pools are lost: the accounts count them as granted.
+        """
         while len(self._programs) > MAX_PROGRAMS:
             del self._programs[next(iter(self._programs))]
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_lending_record.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_lending_record.py
@@ -1,4 +1,12 @@
-"""A record of whether this host may have lent tokens that no row has."""
+"""Record in the store that shows whether a host may have lent uncharged tokens.
+
+Each host that owns program slots writes a record periodically, which states how long
+after it the host starts to lend tokens. Loans are made only while the store is
+unavailable, and are kept in memory until they are charged to the accounts. After a
+restart, the next process at the same address reads the record of its predecessor. It
+may lend only if the predecessor cannot have made loans that were lost with its memory;
+otherwise, the same tokens could be lent twice.
+"""
 
 import asyncio
 import random
@@ -24,31 +32,33 @@
 TABLE = "lending"
 
 MIN_RECORD_INTERVAL_SECONDS = 0.3
-"""Between records at least: a write each, 37 a second for eleven hosts."""
+"""Shortest time between two records of a host. Each is one write: 37 per second for
+eleven hosts."""
 
 RECORD_WRITES_FRACTION = 0.05
-"""Of what the store takes, for the records of all hosts: with more hosts, or a smaller
-store, each writes more rarely."""
+"""Fraction of the store's write capacity that the records of all hosts may use. With
+more hosts or a smaller store, each host writes its record less often."""
 
 LENDING_DELAY_INTERVALS = 4.0
-"""A host lends when it has written no record for so many periods: one that was killed
-is back sooner."""
+"""Number of record intervals without a record after which a host lends. A killed
+process restarts within a shorter time."""
 
 MAX_RECORDED_PROGRAMS = 500
-"""Programs listed in a record, 35 bytes each; with more, a successor doesn't lend."""
+"""Largest number of released programs listed in a record, 35 bytes each. If there are
+more, the next process at the address is barred from lending."""
 
 READ_RETRY_SECONDS = 0.2
-"""Pause before the record is read again while the store is away."""
+"""Pause between attempts to read the record while the store is unavailable."""
 
 
 def record_interval_seconds(n_hosts: int, writes_per_second: float) -> float:
-    """Return the seconds between records of each host.
+    """Return the time between two records of a host, in seconds.
 
     Parameters
     ----------
     n_hosts : int
     writes_per_second : float
-        That the store takes from all hosts together.
+        Write capacity of the store for all hosts together.
     """
     return max(
         MIN_RECORD_INTERVAL_SECONDS,
@@ -57,22 +67,22 @@
 
 
 class LendingRecord:
-    """Keeps the record, and tells whether this host may lend.
+    """Writes the lending record of this host, and decides whether the host may lend.
 
     Parameters
     ----------
     store : SharedStore
     own_ip : str
-        A process that starts again at the address succeeds its predecessor.
+        Address of this host. A new process at the same address takes over the record.
     is_reachable : callable
-        Tells whether the store can be reached, as far as is known.
+        Returns whether the store can be reached, as far as is known.
     lender : callable
-        Returns what lends tokens at this host.
+        Returns the `TokenLender` of this host.
     owns_slots : callable
-        Tells whether this host owns slots of programs. Without any it lends nothing,
-        and keeps no record.
-    period : callable
-        Returns the seconds between records.
+        Returns whether this host owns slots of programs. A host without slots lends
+        nothing and writes no record.
+    interval_seconds : callable
+        Returns the time between two records, in seconds.
     log : EventLog
     """
 
@@ -92,7 +102,8 @@
         self._owns_slots = owns_slots
         self._interval_seconds = interval_seconds
         self._lending_delay_ms = 0
-        # A part for each host: one part takes few transactions a second.
+        # Each host has its own partition, because a partition executes only a limited
+        # number of transactions per second.
         self._row_key = RowKey(TABLE, own_ip, own_ip)
         self._log = log
         self._version = 0
@@ -104,7 +115,11 @@
         self._store_clock_offset_ms = 0
 
     def seconds_until_lending(self) -> float | None:
-        """Return the seconds until tokens may be lent; None if that isn't foreseen."""
+        """Return the seconds until this host may lend tokens.
+
+        None if this cannot be foreseen, because no record was written, the record is
+        closed, or a predecessor may have lent.
+        """
         if (
             self._last_write_ms is None
             or self._closed
@@ -117,27 +132,35 @@
         )
 
     def may_release_slots(self) -> bool:
-        """Whether nothing can have been lent here, by a predecessor neither."""
+        """Whether this host may give up its program slots.
+
+        This requires that neither this process nor a predecessor has loans that are not
+        charged, or programs to which nothing may be lent.
+        """
         lender = self._lender()
         return self.has_no_unknown_loans() and not (
             lender.has_uncharged_loans() or lender.released_programs()
         )
 
     def has_no_unknown_loans(self) -> bool:
-        """Whether no predecessor can have served anything that no row has."""
+        """Whether no predecessor can have made a loan that is not charged."""
         return (
             self._has_read_predecessor and self._store_now_ms >= self._barred_until_ms
         )
 
     def may_have_unknown_loans(self) -> bool:
-        """Whether a predecessor may have served something that no row has."""
+        """Whether a predecessor may have made a loan that is not charged.
+
+        False while the record of the predecessor has not been read.
+        """
         return self._has_read_predecessor and self._store_now_ms < self._barred_until_ms
 
     async def run(self) -> None:
-        """Keep the record until cancelled."""
+        """Read the record of the predecessor, then renew the record until cancelled."""
         await self._read_predecessor_record()
         while True:
-            # A record that is sent may take effect: from then on the wait begins anew.
+            # Each record that is sent restarts the delay before lending, because it
+            # may take effect. None is sent while the store is known to be unreachable.
             if self._is_reachable():
                 await self._renew()
             await asyncio.sleep(self._interval_seconds() * random.uniform(0.9, 1.1))
@@ -146,17 +169,17 @@
         if self._owns_slots():
             await self.write()
         elif self._last_write_ms is not None and await self.write():
-            # Others own what was this host's, and its record says so.
+            # This host owns no slots any more, and its record states so.
             self._last_write_ms = None
 
     async def close(self) -> None:
-        """Record that nothing will be lent any more."""
+        """Write a last record, which states that this host lends no more tokens."""
         self._closed = True
         if self._last_write_ms is not None:
             await self.write()
 
     async def _read_predecessor_record(self):
-        # Earlier releases kept all records in the empty part.
+        # Earlier releases wrote all records to the partition with the empty name.
         for part in ("", self._row_key.part):
             found = await self._read(part)
             self._set_clock(found.now_ms)
@@ -180,10 +203,11 @@
             await asyncio.sleep(READ_RETRY_SECONDS)
 
     async def write(self) -> bool:
-        """Write the record as it is now; return whether that is known to stand."""
+        """Write the current record; return whether the store confirmed it."""
         async with self._writing:
             told_ms = self._store_now_ms
-            # Noted before it is sent: it may take effect though its answer is lost.
+            # Set before the record is sent, because the record may take effect even if
+            # the answer is lost.
             self._last_write_ms = told_ms
             self._lending_delay_ms = max(
                 MIN_LENDING_DELAY_MS,
@@ -199,7 +223,8 @@
                     self._set_clock(now_ms)
                     return True
                 case Conflict(rows):
-                    # An earlier write of this host took effect late.
+                    # An earlier write of this host took effect late. The next record is
+                    # written on condition of the new version.
                     self._version = max((row.version for row in rows), default=0)
             return False
 
@@ -225,7 +250,11 @@
 
     @property
     def _store_now_ms(self):
-        """The store's clock, as far as this host can tell; never ahead of it."""
+        """Estimated time of the store's clock, in milliseconds; never ahead of it.
+
+        The offset was computed when an answer arrived, so that the estimate lags by the
+        time that the answer took.
+        """
         return _monotonic_ms() + self._store_clock_offset_ms
 
 
@@ -237,5 +266,5 @@
     try:
         return msgspec.json.decode(row.value or b"", type=LendingState)
     except (msgspec.DecodeError, msgspec.ValidationError):
-        # Unknown: as if long ago, so that lending is barred.
+        # An unreadable record counts as written long ago, which bars lending.
         return LendingState(0)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_reservation.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_reservation.py
@@ -1,4 +1,4 @@
-"""Tokens of programs at one host."""
+"""Tokens of a program at one host, and their reservation for a turn."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -8,29 +8,33 @@
 
 @dataclass(slots=True)
 class LocalProgramBudget:
-    """What one host knows of a program's budget."""
+    """Tokens and last known account of one program at this host.
+
+    The lock is held while tokens are acquired. ``account`` and ``version`` are those of
+    the row as last read or written; they are None and 0 if there was none.
+    """
 
     pool: TokenPool = field(default_factory=TokenPool)
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     account: ProgramAccount | None = None
     version: int = 0
     moved_to: str = ""
-    """Host that took this one's tokens last: it may have some."""
+    """Host that withdrew tokens from this host last, and may have some left."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Tokens set aside for one turn.
+    """Tokens reserved for one turn.
 
     Parameters
     ----------
     program : object
-        The keeper's record of the program.
-    most : int
-        Tokens set aside.
-    is_cut : bool
-        Whether these are fewer than the turn may generate: it must be broken off
-        where they end.
+        Tokens of the program at this host.
+    tokens : int
+        Number of reserved tokens.
+    is_partial : bool
+        Whether fewer tokens are reserved than the turn may generate. The turn must
+        then be aborted when they are used up.
     """
 
     program: LocalProgramBudget
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_token_lender.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_token_lender.py
@@ -1,19 +1,22 @@
-"""Lending tokens to programs while the store is away.
-
-Load pattern: the store is down for all hosts for seconds, and new programs arrive all
-the while.
-
-Without it: each new program is refused until the store is back, as no host can tell
-whether another one lets the same program spend its budget.
-
-Grounds: a program may generate its budget and the most of one turn. Rows grant the
-budget but for what is held back of large ones; that and the one turn more are what the
-owner of the program's slot lends without a row. Turns generate a quarter of their most
-on average, so that this carries most programs to their end. When the store is back the
-loan is charged to the account: a program exceeds its budget only if its lender died
-before.
-Tokens granted earlier move to the host that needs them: they leave one host before they
-reach the other.
+"""Loans of tokens to programs while the store is unavailable.
+
+Decides how many tokens the turn of a program gets during an outage, from the tokens
+that other hosts have free and the loans that the program got before. It serves a load
+in which the store is down for all hosts for seconds while new programs continue to
+arrive.
+
+Without it, each new program would be refused until the store is back, because no host
+could tell whether another host lets the same program spend its budget.
+
+A program may generate the tokens of its budget and, in addition, those of one turn of
+maximum size. Accounts in the store grant the budget except for the reserve of large
+budgets. The owner of the program's slot lends this reserve and the tokens of one turn
+without a row in the store. Turns generate a quarter of their maximum on average, so
+that these tokens suffice for most programs. When the store is back, the loan is charged
+to the account. A program exceeds its budget only if its lender failed before that.
+
+Tokens that were granted earlier move to the host that needs them. They are removed from
+one host before the other receives them, so that they are never counted twice.
 """
 
 import asyncio
@@ -32,37 +35,42 @@
 from swifttide_daemon.telemetry import EventLog
 
 MAX_LOANS = 20_000
-"""Programs whose loans are remembered, some 300 bytes each; beyond, none are made. One
-that was forgotten could be made twice."""
+"""Largest number of programs with loans in memory, some 300 bytes each. Beyond it, no
+loans are made to further programs. Evicting a loan would allow lending the same tokens
+twice."""
 
 CHARGE_INTERVAL_SECONDS = 0.1
-"""Between looks whether the store is back."""
+"""Interval at which the lender checks whether the store is available again."""
 
 ChargeLoan = Callable[[str, Loan], Awaitable[ProgramAccount | None]]
-"""Takes a program's key and what was lent to it; returns the account as written, None
-when it wasn't."""
+"""Charges a loan to the account of a program.
+
+Takes the key of the program and the loan. Returns the account as written, or None if it
+is not known to be written.
+"""
 
 
 class TokenLender:
-    """Lends tokens to the programs of this host's slots.
+    """Lends tokens to programs whose slots this host owns or has taken over.
 
     Parameters
     ----------
     own_slots : callable
         Returns the slots that this host owns.
-    lends_in : callable
-        Returns the seconds until no predecessor of this host can have lent as well;
-        None if that isn't foreseen.
-    is_in_doubt : callable
-        Tells whether a predecessor of this host may have lent, and nobody knows.
-    is_store_away : callable
+    seconds_until_lending : callable
+        Returns the seconds until this host may lend from its own slots; None if this
+        cannot be foreseen.
+    may_have_unknown_loans : callable
+        Returns whether a predecessor of this host may have made loans that are not
+        charged.
+    is_store_unavailable : callable
     collect : callable
-        See `Collect`.
+        See `CollectTokens`.
     charge : callable
-        See `Charge`.
-    record : callable
-        Writes this host's record, which names the released programs; returns whether
-        it stands.
+        See `ChargeLoan`.
+    write_record : callable
+        Writes the lending record of this host, which lists the released programs.
+        Returns whether the store confirmed it.
     log : EventLog
     """
 
@@ -91,7 +99,7 @@
         self._stopped = False
 
     def lending_slots(self) -> frozenset[int]:
-        """Return the slots from which this host lends now."""
+        """Return the slots whose programs this host lends to at this moment."""
         if self._stopped or not self._is_store_unavailable():
             return frozenset()
         own = self._own_slots() if self._seconds_until_lending() == 0 else frozenset()
@@ -101,24 +109,37 @@
         }
 
     def has_uncharged_loans(self) -> bool:
-        """Whether something was lent that isn't charged to its account yet."""
+        """Whether there are loans that are not charged to their accounts yet."""
         return any(loan.lent for loan in self._loans.values())
 
     def released_programs(self) -> tuple[str, ...]:
-        """Return the programs to which nothing may be lent."""
+        """Return the keys of programs to which nothing may be lent."""
         return tuple(k for k, loan in self._loans.items() if loan.released)
 
     def restore_released_programs(self, released: tuple[str, ...]) -> None:
-        """Take over from a predecessor to which programs nothing may be lent."""
+        """Restore the released programs from the lending record of a predecessor.
+
+        Parameters
+        ----------
+        released : tuple of str
+            Keys of programs to which nothing may be lent.
+        """
         for key in released:
             self._loans.setdefault(key, Loan(0, released=True))
 
     async def release(self, key: str, budget: int) -> ReleaseVerdict:
-        """Lend nothing to a program any more; return whether that is sure."""
+        """Stop lending to a program, so that its account may grant the whole budget.
+
+        Returns
+        -------
+        ReleaseVerdict
+            Whether it is certain that the reserve of the program was not and will not
+            be lent.
+        """
         async with self._lock(key):
             if self._stopped or slot_of(key) not in self._own_slots():
-                # Looked up under the lock: given up meanwhile, the slot's next owner
-                # would lend to the program without knowing of this.
+                # Checked under the lock: if the slot was given up in the meantime, its
+                # next owner would lend to the program without knowing of the release.
                 return ReleaseVerdict.LATER
             if self._may_have_unknown_loans():
                 return ReleaseVerdict.DOUBTFUL
@@ -126,11 +147,12 @@
                 return ReleaseVerdict.LATER
             loan = self._loans.get(key)
             if loan is not None and loan.lent:
-                # Until that is charged the account doesn't know of it.
+                # The account does not include the loan until it is charged.
                 return ReleaseVerdict.LATER
             if loan is None:
                 loan = self._loans[key] = Loan(budget)
-            # Before it is written: whatever becomes of that, nothing is lent.
+            # Set before the record is written, so that nothing is lent whether or not
+            # the write succeeds.
             loan.released, loan.left = True, 0
             stands = await self._write_record()
         return ReleaseVerdict.RELEASED if stands else ReleaseVerdict.LATER
@@ -139,7 +161,14 @@
         return self._locks[slot_of(key)]
 
     async def lend(self, ask: AskTokens) -> int:
-        """Return tokens for a turn: those that other hosts have free, or a loan."""
+        """Return tokens for a turn, from other hosts or by a loan.
+
+        Returns
+        -------
+        int
+            Free tokens collected from other hosts, plus a loan if they are too few. 0
+            if this host does not lend to the program.
+        """
         key = ask.program
         if slot_of(key) not in self.lending_slots():
             return 0
@@ -148,7 +177,8 @@
             holders = (tuple(loan.holders) if loan else ()) or None
             tokens = await self._collect(key, holders, ask.asker)
             if slot_of(key) not in self.lending_slots():
-                # Handed to another host meanwhile, or the store is back.
+                # The slot was handed to another host in the meantime, or the store is
+                # available again.
                 return tokens
             if loan is None:
                 loan = self._open_loan(key, ask)
@@ -177,7 +207,7 @@
         return tokens
 
     async def run(self) -> None:
-        """Charge loans to their accounts whenever the store is back."""
+        """Charge loans whenever the store is available, until cancelled."""
         while True:
             await asyncio.sleep(CHARGE_INTERVAL_SECONDS)
             if self._is_store_unavailable():
@@ -205,11 +235,17 @@
         if account.released:
             loan.released, loan.left = True, 0
         elif not loan.lent:
-            # What is held back is whole again.
+            # The loan is charged, so that the whole reserve may be lent again.
             del self._loans[key]
 
     def hand_over(self) -> HandSlots | None:
-        """Stop lending; return what another host needs to go on, None if nothing."""
+        """Stop lending, and return the slots and loans for another host.
+
+        Returns
+        -------
+        HandSlots or None
+            None if there is nothing to hand over.
+        """
         if self._stopped or not self._is_store_unavailable():
             return None
         now = asyncio.get_running_loop().time()
@@ -218,15 +254,16 @@
             for slot, since in self._taken_over_slots.items()
         }
         if self._seconds_until_lending() == 0:
-            # Not sooner: this host's record would still tell its next process that
-            # nothing can have been lent.
+            # Own slots are not handed over before this host may lend from them. Until
+            # then its record tells its next process that nothing was lent, so that
+            # process and the other host would both lend the same tokens.
             waits |= dict.fromkeys(self._own_slots(), 0.0)
         self._stopped = True
         loans = {k: v for k, v in self._loans.items() if slot_of(k) in waits}
         return HandSlots(waits, loans) if waits else None
 
     def take_over(self, handed: HandSlots) -> bool:
-        """Go on for a host that stops; return whether this host does."""
+        """Take over the slots and loans of a stopping host; return whether it did."""
         if self._stopped or not self._is_store_unavailable():
             return False
         now = asyncio.get_running_loop().time()
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_lending_fleet.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_lending_fleet.py
@@ -1,4 +1,4 @@
-"""Hosts of a fleet with the parts that budgets need, on one store in memory."""
+"""Simulated fleet of hosts that grant and lend token budgets, on an in-memory store."""
 
 import asyncio
 import random
@@ -22,14 +22,14 @@
 
 
 class StubRates:
-    """Holds the share that a host uses."""
+    """Replaces the rate limiter: only stores the rate share of the host."""
 
     def __init__(self):
         self.share = 0.0
 
 
 class PartitionableStore:
-    """The store as one host reaches it."""
+    """The shared store as seen by one host, which can be cut off from it."""
 
     def __init__(self, store):
         self._store = store
@@ -51,7 +51,7 @@
 
 
 class Host:
-    """The parts of one host that budgets need."""
+    """One host, with the components that token budgets depend on."""
 
     def __init__(self, fleet, ip):
         self.fleet, self.ip = fleet, ip
@@ -110,7 +110,7 @@
         ]
 
     async def follow(self):
-        """Hand the row of shares over as a watch does."""
+        """Deliver the row of rate shares and slots periodically, like a watch."""
         while True:
             if self.store.reachable:
                 rows = self.fleet.store.rows.range("fleet", "", KEY, KEY + "\0")
@@ -120,12 +120,12 @@
             await asyncio.sleep(0.1)
 
     def reached(self):
-        """Return the peer services of all hosts on this side of the cut."""
+        """Return the peer services on this side of the network partition by address."""
         hosts = [self, *self.fleet.reached_by(self)]
         return {host.ip: host.peers for host in hosts}
 
     def lender_of(self, slot):
-        """Return the host that says in its beacons that it lends from a slot."""
+        """Return the peer that lends from a slot, as announced in its beacons."""
         for host in self.fleet.reached_by(self):
             if slot in host.lender.lending_slots():
                 return Peer(host.ip, 1, "zone-a", "")
@@ -137,7 +137,7 @@
 
 
 class Fleet:
-    """Hosts that reach each other but for cuts and lost answers."""
+    """Hosts that reach each other except for network partitions and lost answers."""
 
     def __init__(self, store, log, rng, n_hosts):
         self.store, self.log, self.rng = store, log, rng
@@ -152,23 +152,23 @@
         self.hosts[ip] = Host(self, ip)
 
     def remove(self, ip):
-        """Kill a host for good."""
+        """Kill a host that does not restart."""
         self.hosts.pop(ip).kill()
 
     def reached_by(self, host):
-        """Return the other hosts on the same side of the cut."""
+        """Return the other hosts on the same side of the network partition."""
         others = [h for h in self.hosts.values() if h is not host]
         return [h for h in others if h.store.cut == host.store.cut]
 
     def is_lost(self):
-        """Whether an answer is lost, with the tokens that it carries."""
+        """Draw whether an answer is lost, together with the tokens in it."""
         return self.rng.random() < self.loss
 
     def any(self):
         return self.rng.choice(list(self.hosts.values()))
 
     async def turn(self, host, budget, generated):
-        """Run a turn; return what it generated, None when it was refused."""
+        """Run a turn; return the tokens that it generated, None if it was refused."""
         try:
             reservation = await host.budgets.reserve(
                 "r", CUSTOMER, PROGRAM, budget, MAX_TURN_TOKENS
@@ -182,7 +182,7 @@
 
 
 def run_fleet(store, log, scenario, n_hosts=4, seed=0):
-    """Run a scenario on a paused clock, with a fleet that has found its slots."""
+    """Run a scenario on a simulated clock, after the hosts acquired their slots."""
 
     async def main():
         fleet = Fleet(store, log, random.Random(seed), n_hosts)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_budget_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_budget_keeper.py
@@ -1,4 +1,4 @@
-"""Budgets over several hosts, under the store's faults."""
+"""Tests of token budgets shared by several hosts, under faults of the store."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class Hosts:
-    """Keepers of several hosts that take tokens from each other."""
+    """Budget keepers of several hosts that collect tokens from each other."""
 
     def __init__(self, store, log, count):
         self.store, self.log = store, log
@@ -26,7 +26,7 @@
             self.start(f"10.0.0.{i}")
 
     def start(self, ip):
-        """Start a host's keeper; one that ran there is gone with its memory."""
+        """Start the budget keeper of a host; a previous one loses its memory."""
         reached = lambda: self.services  # noqa: E731
         service, _ = make_peer_service(
             ip,
@@ -59,17 +59,17 @@
 
 
 generated_tokens: list[int] = []
-"""Tokens of each turn that ran."""
+"""Tokens that each completed turn generated."""
 
 
 async def run_turn(keeper, budget, generated):
-    """Run a turn that generates some tokens at most; return its status."""
+    """Run a turn that generates up to `generated` tokens; return its HTTP status."""
     try:
         reservation = await keeper.reserve("r", "c", "p", budget, MAX_TURN_TOKENS)
     except Refusal as refusal:
         return refusal.status
     await asyncio.sleep(0.05)
-    # A turn is broken off where its tokens end.
+    # A turn is aborted when its reserved tokens are used up.
     generated = min(generated, reservation.tokens)
     keeper.settle(reservation, generated)
     generated_tokens.append(generated)
@@ -78,10 +78,10 @@
 
 class TestBudget:
     def test_tokens_follow_program_between_hosts(self, store, log):
-        """Each turn of a program arrives at another host.
+        """Guards against refusing a program whose budget suffices for more turns.
 
-        The tokens that earlier hosts hold and don't need move along; without them the
-        program would be stopped though its budget holds more turns.
+        Each turn arrives at another host, and unused tokens remain at the earlier hosts
+        unless they are collected.
         """
 
         async def main():
@@ -120,10 +120,11 @@
         assert run_paused(main()) == [200] * 6
 
     def test_reads_account_after_lost_answer(self, store, log):
-        """The store grants tokens and its answer is lost.
+        """Guards against miscounting a grant whose answer from the store was lost.
 
-        Taken for a failure, the tokens would be lost to the program; counted without
-        reading, a grant that never was would be spent.
+        If the grant counted as failed, its tokens would be lost to the program. If it
+        counted as successful without reading the account, tokens that were never
+        granted could be used.
         """
 
         async def main():
@@ -137,7 +138,7 @@
         assert statuses[1] == 200
 
     def test_moving_program_causes_no_further_write(self, store, log):
-        """Turns arrive at three hosts in turn; one grant of tokens follows them."""
+        """Guards against one write per turn if turns alternate between three hosts."""
 
         async def main():
             hosts = Hosts(store, log, 3)
@@ -147,7 +148,7 @@
         assert run_paused(main()) == ([200] * 9, 1)
 
     def test_collects_tokens_that_moved_to_another_host(self, store, log):
-        """A third host knows only who took the tokens first."""
+        """Guards against losing tokens that moved on from the host that was asked."""
 
         async def main():
             hosts = Hosts(store, log, 4)
@@ -157,7 +158,7 @@
                 program_key("c", "p"), ("10.0.0.0",), "10.0.0.3"
             )
 
-        # Half of what may be granted, less three turns.
+        # One grant, half of the grantable tokens, less 10 tokens for each turn.
         assert run_paused(main()) == 112 - 30
 
     def test_collects_tokens_while_store_is_unavailable(self, store, log):
@@ -173,10 +174,10 @@
 
     @pytest.mark.parametrize("seed", range(40))
     def test_budget_is_not_exceeded_under_random_faults(self, store, log, seed):
-        """Hosts die, writes land late, answers are lost, the store goes away.
+        """Guards against a program in an endless loop exceeding its budget.
 
-        Whatever happens, a program that loops gets no more than its budget, and is
-        stopped in the end.
+        Hosts restart, writes take effect late, answers are lost, and the store is
+        temporarily unavailable.
         """
         rng = random.Random(seed)
         budget = rng.randrange(MAX_TURN_TOKENS, 10 * MAX_TURN_TOKENS)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_budgets_after_host_loss.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_budgets_after_host_loss.py
@@ -1,4 +1,4 @@
-"""Budgets of programs that outlive the hosts that held their tokens."""
+"""Tests of token budgets after the loss of the hosts that held the tokens."""
 
 import asyncio
 import functools
@@ -16,7 +16,7 @@
 )
 
 RECOVERY_SECONDS = 2.0
-"""Within which a program is to go on after hosts and store are back."""
+"""Time within which programs are served again after hosts and store are back."""
 
 
 @pytest.fixture
@@ -25,7 +25,7 @@
 
 
 async def restart_all_hosts(fleet, store, down_seconds):
-    """Kill all hosts in an outage of the store; both come back together."""
+    """Kill all hosts in an outage of the store, which ends when they restart."""
     store.down = True
     await asyncio.sleep(down_seconds)
     for host in fleet.hosts.values():
@@ -38,7 +38,7 @@
 
 
 async def status_of_turn(host, budget):
-    """Return 200 for a turn that is let in, the refusal's status otherwise."""
+    """Return 200 if a turn is admitted, otherwise the HTTP status of the refusal."""
     try:
         reservation = await host.budgets.reserve(
             "r", CUSTOMER, PROGRAM, budget, MAX_TURN_TOKENS
@@ -63,7 +63,7 @@
     def test_program_with_remaining_budget_continues(
         self, play, store, budget, n_turns
     ):
-        """Guards against refusals for hours as nobody knows what had been lent."""
+        """Guards against refusals for hours because lost loans are unknown."""
 
         async def scenario(fleet):
             for _ in range(n_turns):
@@ -74,7 +74,7 @@
         assert play(scenario) == 200
 
     def test_program_with_loan_continues_after_host_loss(self, play, store):
-        """Guards against a loan that died with its lender ending a program."""
+        """Guards against ending a program whose loan was lost with its lender."""
 
         async def scenario(fleet):
             store.down = True
@@ -86,7 +86,10 @@
         assert play(scenario) == 200
 
     def test_reserve_that_may_have_been_lent_is_charged(self, play, store):
-        """Guards against refusals for hours where nobody can vouch for the rest."""
+        """Guards against refusals for hours if it is unknown whether tokens were lent.
+
+        These tokens are the reserve for outages, a quarter of the budget here.
+        """
         budget = 8 * MAX_TURN_TOKENS
 
         async def scenario(fleet):
@@ -105,7 +108,7 @@
         assert b'"granted":%d' % budget in row
 
     def test_vanished_slot_owner_does_not_block_programs(self, play, store):
-        """Guards against refusals for hours after the loss of a slot's owner."""
+        """Guards against refusals for hours after the loss of the slot's owner."""
         budget = 8 * MAX_TURN_TOKENS
 
         async def scenario(fleet):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_token_lender.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_token_lender.py
@@ -1,4 +1,4 @@
-"""Programs while the store is away: who lends to them, and how much in all."""
+"""Tests of loans during outages of the store: which hosts lend, and how much."""
 
 import asyncio
 import functools
@@ -22,10 +22,10 @@
 
 class TestOutage:
     def test_new_program_is_served_while_store_is_unavailable(self, play, store):
-        """The store goes down for all hosts, and a program begins.
+        """Guards against refusing a program that starts during an outage of the store.
 
-        Its turns arrive at several hosts. None of them has a row for it; refused
-        until the store is back, it would be late whatever happens then.
+        Its turns arrive at several hosts, and there is no row for it. If it were
+        refused until the store is back, it would be late in any case.
         """
 
         async def scenario(fleet):
@@ -42,10 +42,11 @@
         assert b'"granted":' in rows[0][1].value
 
     def test_nothing_is_lent_at_the_start_of_an_outage(self, play, store):
-        """A host is killed just as the store goes down and is back in a second.
+        """Guards against lending twice after a restart at the start of an outage.
 
-        The next process can't know what the one before lent, unless that can't have
-        begun to lend yet.
+        A host may be killed when the store goes down and restart within a second. The
+        next process cannot know the loans of its predecessor, unless the predecessor
+        cannot have lent yet.
         """
 
         async def scenario(fleet):
@@ -56,10 +57,10 @@
         assert play(scenario) is None
 
     def test_restarted_lender_does_not_lend(self, play, store):
-        """The host that lends dies in the outage with the memory of what it lent.
+        """Guards against a program exceeding its budget by more than one turn.
 
-        Its next process would lend the same once more, and a program that loops
-        would exceed its budget by more than a turn.
+        The lending host is killed and loses the memory of its loans. If its next
+        process could lend, it would lend the same tokens again.
         """
 
         async def scenario(fleet):
@@ -77,10 +78,10 @@
         assert play(scenario) == [frozenset()] * 4
 
     def test_hosts_restarted_while_store_is_available_lend_later(self, play, store):
-        """All processes are killed and back in 0.8 s, and later the store goes down.
+        """Guards against refusing all new programs in an outage after a restart.
 
-        Nothing can have been lent before; without that knowledge no new program
-        would be served in the outage.
+        All processes are killed and restart within 0.8 s while the store is available,
+        so that nothing can have been lent. The store goes down later.
         """
 
         async def scenario(fleet):
@@ -99,7 +100,7 @@
         assert play(scenario) == 64
 
     def test_stopping_host_hands_its_slots_over(self, play, store):
-        """Hosts are replaced one after the other while the store is away."""
+        """Guards against slots without a lender if hosts restart during an outage."""
 
         async def scenario(fleet):
             store.down = True
@@ -115,10 +116,10 @@
         assert before < second
 
     def test_slots_are_not_handed_over_before_lending_is_allowed(self, play, store):
-        """A host stops just as the store goes away, and is back at once.
+        """Guards against lending tokens twice if a host restarts as an outage starts.
 
-        Its record is fresh, so its next process lends; another host that had taken
-        its slots over would lend the same once more.
+        Its record is recent, so that its next process may lend. Another host that took
+        its slots over would lend the same tokens again.
         """
 
         async def scenario(fleet):
@@ -129,9 +130,10 @@
         assert play(scenario) is None
 
     def test_slot_given_up_while_reserve_release_waits(self, play, store):
-        """A release waits for the lock of a slot that goes to another host meanwhile.
+        """Guards against both granting and lending the reserve of a program.
 
-        Said to be sure, the last quarter would be granted and lent as well.
+        The release of the reserve waits for the lock of a slot, which is given up to
+        another host in the meantime.
         """
 
         async def scenario(fleet):
@@ -155,9 +157,10 @@
         assert play(scenario) == [10] * 8 + [None]
 
     def test_lender_restarted_before_charging_its_loans_is_barred(self, play, store):
-        """The store is back, and a host dies before it has charged what it lent.
+        """Guards against lending tokens again that were lent but not charged.
 
-        Its next process finds a fresh record, but must not lend the same again.
+        The store is back, and the lending host is killed before it charges its loans.
+        Its next process finds a recent record, but must not lend.
         """
 
         async def scenario(fleet):
@@ -174,11 +177,11 @@
                 host.record.has_no_unknown_loans() for host in fleet.hosts.values()
             )
 
-        # The one that lent is barred; the others had nothing to hide.
+        # Only the host that had made a loan is barred.
         assert play(scenario) == [False, True, True, True]
 
     def test_released_program_gets_no_loan(self, play, store):
-        """A program found tokens in one outage, was released, and asks in the next."""
+        """Guards against lending to a program after its reserve was released."""
 
         async def scenario(fleet):
             owner = next(
@@ -202,9 +205,10 @@
 
     @pytest.mark.parametrize("seed", range(60))
     def test_budget_is_not_exceeded_under_random_faults(self, play, store, seed):
-        """Outages, cuts, kills, hand-overs, lost answers and late writes together.
+        """Guards against a program exceeding its budget by more than one turn.
 
-        A program that loops through all of it gets its budget and one turn's most.
+        Combines outages of the store, network partitions, killed hosts, hand-overs,
+        lost answers and late writes at random.
         """
         rng = random.Random(seed)
         budget = rng.randrange(MAX_TURN_TOKENS, 12 * MAX_TURN_TOKENS)
@@ -242,7 +246,7 @@
             host.store.cut = not host.store.cut
 
     def stop(self, fleet, host):
-        """Stop a host as planned and start it again."""
+        """Stop a host gracefully, handing its slots over, and start it again."""
         handed = host.lender.hand_over()
         others = fleet.reached_by(host)
         if handed is not None and others:
@@ -252,7 +256,7 @@
 
 class TestRecords:
     def test_host_without_slots_keeps_no_record(self, play, store):
-        """Guards against records of hundreds of hosts that lend nothing."""
+        """Guards against writes by hundreds of hosts that lend nothing."""
 
         async def scenario(fleet):
             for host in fleet.hosts.values():
@@ -265,7 +269,7 @@
         assert play(scenario) == 0
 
     def test_lending_records_are_in_separate_partitions(self, play, store):
-        """Guards against records that wait for each other in one part."""
+        """Guards against contention between records in one partition of the store."""
 
         async def scenario(fleet):
             return [store.rows.range("lending", ip, "", "") for ip in fleet.hosts]
