--- a/packages/swifttide_core/src/swifttide_core/membership/_outage.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_depose_delay.py
@@ -51,12 +51,12 @@
   when the platform is back.
 """
 
+from swifttide_core.membership._extension_times import ExtensionTimes
 from swifttide_core.membership._lease_times import LeaseTimes
-from swifttide_core.membership._outage_times import OutageTimes
 
 
-def depose_wait(
-    times: LeaseTimes, outage: OutageTimes, knows_head: int, registered_head: int
+def depose_delay_seconds(
+    times: LeaseTimes, outage: ExtensionTimes, knows_head: int, registered_head: int
 ) -> float:
     """Return for how many seconds a lease row must stand still to be deposed.
 
@@ -64,7 +64,7 @@
     ----------
     times : LeaseTimes
         Durations of the lease.
-    outage : OutageTimes
+    outage : ExtensionTimes
         Durations of promises.
     knows_head : int
         Head version of the zone that the row's holder knew when it last renewed.
@@ -79,5 +79,7 @@
     """
     if knows_head >= registered_head:
         return times.lease_seconds + times.drift_margin_seconds
-    drift = times.drift_margin_seconds * outage.limit_seconds / times.lease_seconds
-    return outage.limit_seconds + drift
+    drift = (
+        times.drift_margin_seconds * outage.max_extension_seconds / times.lease_seconds
+    )
+    return outage.max_extension_seconds + drift
--- a/packages/swifttide_core/src/swifttide_core/membership/_extension_round.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_extension_round.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
+from swifttide_core.membership._extension_times import ExtensionTimes
 from swifttide_core.membership._host_lease import HostLease
-from swifttide_core.membership._outage_times import OutageTimes
 from swifttide_core.membership._promise import PlatformSeen, Promise
 
 
@@ -30,16 +30,16 @@
     asked: frozenset[str]
     promised: frozenset[str] = frozenset()
     seconds: float = float("inf")
-    relays: frozenset[str] = frozenset()
+    relay_hosts: frozenset[str] = frozenset()
 
     @classmethod
     def from_hosts(
-        cls, now: float, hosts: Iterable[str], times: OutageTimes
+        cls, now: float, hosts: Iterable[str], times: ExtensionTimes
     ) -> "ExtensionRound":
         """Return a round that nobody has answered yet."""
         return cls(now, frozenset(hosts), seconds=times.promise_seconds)
 
-    def noted(self, answer: Promise | PlatformSeen) -> "ExtensionRound":
+    def with_answer(self, answer: Promise | PlatformSeen) -> "ExtensionRound":
         """Return the round with one answer more."""
         match answer:
             case Promise(host, seconds):
@@ -49,14 +49,14 @@
                     seconds=min(self.seconds, seconds),
                 )
             case PlatformSeen(host):
-                return replace(self, relays=self.relays | {host})
+                return replace(self, relay_hosts=self.relay_hosts | {host})
 
     @property
-    def unanimous(self) -> bool:
+    def is_unanimous(self) -> bool:
         """Whether every host that was asked has promised."""
         return self.asked <= self.promised
 
-    def extend(self, lease: HostLease, now: float, times: OutageTimes) -> HostLease:
+    def extend(self, lease: HostLease, now: float, times: ExtensionTimes) -> HostLease:
         """Return the lease, prolonged when all promised while it was in force.
 
         Notes
@@ -65,11 +65,11 @@
         host that saw the platform may have deposed this one, and may have died since
         without telling anybody.
         """
-        if not self.unanimous or not lease.holds(now):
+        if not self.is_unanimous or not lease.is_valid(now):
             return lease
         margin = lease.times.drift_margin_seconds
         until = self.sent_at + self.seconds - margin
         # Clocks drift over the whole outage, not only over the last promise.
-        drift = margin * times.limit_seconds / lease.times.lease_seconds
-        limit = lease.confirmed_at + times.limit_seconds - drift
-        return lease.extended(min(until, limit))
+        drift = margin * times.max_extension_seconds / lease.times.lease_seconds
+        limit = lease.renewal_sent_at + times.max_extension_seconds - drift
+        return lease.with_extension(min(until, limit))
--- a/packages/swifttide_core/src/swifttide_core/membership/_outage_times.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_extension_times.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OutageTimes:
+class ExtensionTimes:
     """Durations of promises.
 
     Parameters
@@ -19,4 +19,4 @@
     """
 
     promise_seconds: float = 6.0
-    limit_seconds: float = 3600.0
+    max_extension_seconds: float = 3600.0
--- a/packages/swifttide_core/src/swifttide_core/membership/_host_lease.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_host_lease.py
@@ -31,43 +31,43 @@
 
     times: LeaseTimes
     row_version: int = 0
-    good_until: float = NEVER
-    confirmed_at: float = NEVER
+    valid_until: float = NEVER
+    renewal_sent_at: float = NEVER
 
     @classmethod
     def from_times(cls, times: LeaseTimes) -> "HostLease":
         """Return the lease of a host that hasn't registered yet."""
         return cls(times=times)
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Return whether the host may act as a holder at `now`."""
-        return now < self.good_until
+        return now < self.valid_until
 
-    def remaining(self, now: float) -> float:
+    def remaining_seconds(self, now: float) -> float:
         """Return the seconds that are left, at least 0."""
-        return max(0.0, self.good_until - now)
+        return max(0.0, self.valid_until - now)
 
-    def confirmed(self, sent_at: float, row_version: int) -> "HostLease":
+    def with_renewal(self, sent_at: float, row_version: int) -> "HostLease":
         """Return the lease after a renewal that was sent at `sent_at` took effect.
 
         Notes
         -----
         An answer can overtake an earlier one; the lease only grows.
         """
-        good_until = (
+        valid_until = (
             sent_at + self.times.lease_seconds - self.times.drift_margin_seconds
         )
         return replace(
             self,
             row_version=max(row_version, self.row_version),
-            good_until=max(good_until, self.good_until),
-            confirmed_at=max(sent_at, self.confirmed_at),
+            valid_until=max(valid_until, self.valid_until),
+            renewal_sent_at=max(sent_at, self.renewal_sent_at),
         )
 
-    def extended(self, until: float) -> "HostLease":
+    def with_extension(self, until: float) -> "HostLease":
         """Return the lease prolonged by the promises of all peers of the zone."""
-        return replace(self, good_until=max(until, self.good_until))
+        return replace(self, valid_until=max(until, self.valid_until))
 
-    def lost(self) -> "HostLease":
+    def without_registration(self) -> "HostLease":
         """Return the lease after another host deposed this incarnation."""
         return HostLease.from_times(self.times)
--- a/packages/swifttide_core/src/swifttide_core/membership/_lease_watch.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_lease_monitor.py
@@ -12,18 +12,18 @@
 
 from swifttide_core.membership._lease_times import LeaseTimes
 
-N_WATCHED = 3
+N_MONITORED_NEIGHBOURS = 3
 """Neighbours that a host watches: two may die with it before a death goes unseen."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Sighting:
+class _Observation:
     version: int
-    since: float
-    last: float
+    unchanged_since: float
+    last_read_at: float
 
 
-class LeaseWatch:
+class LeaseMonitor:
     """Lease rows of neighbours, and since when each is unchanged.
 
     Parameters
@@ -34,10 +34,10 @@
 
     def __init__(self, times: LeaseTimes) -> None:
         self.times = times
-        self._sightings: dict[str, _Sighting] = {}
+        self._observations: dict[str, _Observation] = {}
 
     @classmethod
-    def from_times(cls, times: LeaseTimes) -> "LeaseWatch":
+    def from_times(cls, times: LeaseTimes) -> "LeaseMonitor":
         """Return a watch that has seen nothing."""
         return cls(times)
 
@@ -49,19 +49,23 @@
         after an outage of the platform every row has stood still, and the first host
         to come back would otherwise depose all others before they can renew.
         """
-        seen = self._sightings.get(host)
-        stands = seen is not None and seen.version == version
-        watched = stands and now - seen.last < self.times.lease_seconds
-        since = seen.since if watched else now
-        self._sightings[host] = _Sighting(version, since, now)
-
-    def forget_all_but(self, hosts: Iterable[str]) -> None:
+        seen = self._observations.get(host)
+        is_unchanged = seen is not None and seen.version == version
+        is_monitored = (
+            is_unchanged and now - seen.last_read_at < self.times.lease_seconds
+        )
+        since = seen.unchanged_since if is_monitored else now
+        self._observations[host] = _Observation(version, since, now)
+
+    def retain_hosts(self, hosts: Iterable[str]) -> None:
         """Drop sightings of hosts that are no longer watched."""
         wanted = set(hosts)
-        self._sightings = {h: s for h, s in self._sightings.items() if h in wanted}
+        self._observations = {
+            h: s for h, s in self._observations.items() if h in wanted
+        }
 
-    def lapsed(
-        self, now: float, waits: Mapping[str, float] | None = None
+    def expired_leases(
+        self, now: float, delay_seconds: Mapping[str, float] | None = None
     ) -> dict[str, int]:
         """Return the hosts whose lease has lapsed, with the version to depose.
 
@@ -73,18 +77,20 @@
             Seconds to wait by host (see `depose_wait`); a lease and the margin
             where it has none.
         """
-        usual = self.times.lease_seconds + self.times.drift_margin_seconds
-        waits = waits or {}
+        default_seconds = self.times.lease_seconds + self.times.drift_margin_seconds
+        delay_seconds = delay_seconds or {}
         return {
             host: seen.version
-            for host, seen in self._sightings.items()
-            if now - seen.since >= waits.get(host, usual)
+            for host, seen in self._observations.items()
+            if now - seen.unchanged_since >= delay_seconds.get(host, default_seconds)
         }
 
 
-def ring_neighbours(me: str, hosts: Iterable[str], n: int = N_WATCHED) -> list[str]:
+def ring_successors(
+    own_host: str, hosts: Iterable[str], n: int = N_MONITORED_NEIGHBOURS
+) -> list[str]:
     """Return the next `n` hosts after `me` in the ring of sorted host ids."""
-    others = sorted(host for host in hosts if host != me)
-    after = [host for host in others if host > me]
-    before = [host for host in others if host < me]
+    others = sorted(host for host in hosts if host != own_host)
+    after = [host for host in others if host > own_host]
+    before = [host for host in others if host < own_host]
     return (after + before)[:n]
--- a/packages/swifttide_core/src/swifttide_core/membership/_promise_book.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_promise_state.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromiseBook:
+class PromiseState:
     """Promises of one process to depose and claim nothing.
 
     Parameters
@@ -18,11 +18,11 @@
     """
 
     host: str
-    until: float = float("-inf")
+    promised_until: float = float("-inf")
 
     def answer(
-        self, now: float, seconds: float, sees_platform: bool
-    ) -> tuple["PromiseBook", Promise | PlatformSeen]:
+        self, now: float, promise_seconds: float, sees_platform: bool
+    ) -> tuple["PromiseState", Promise | PlatformSeen]:
         """Return the book after a request at `now`, and the answer.
 
         Notes
@@ -33,9 +33,11 @@
         """
         if sees_platform:
             return self, PlatformSeen(self.host)
-        book = replace(self, until=max(self.until, now + seconds))
-        return book, Promise(self.host, seconds)
+        book = replace(
+            self, promised_until=max(self.promised_until, now + promise_seconds)
+        )
+        return book, Promise(self.host, promise_seconds)
 
     def may_depose(self, now: float) -> bool:
         """Return whether this host may depose hosts and claim slots at `now`."""
-        return now >= self.until
+        return now >= self.promised_until
--- a/packages/swifttide_core/src/swifttide_core/membership/_slot_plan.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_slot_plan.py
@@ -20,7 +20,7 @@
 
 
 def plan_claims(
-    me: str, slots: Iterable[SlotRow], hosts: Mapping[str, HostRow]
+    own_host: str, slots: Iterable[SlotRow], hosts: Mapping[str, HostRow]
 ) -> list[SlotRow]:
     """Return the free slots that `me` should claim.
 
@@ -42,25 +42,25 @@
     return [
         row
         for row in slots
-        if not is_held(row, hosts) and preferred_host(row.slot, live) == me
+        if not is_held(row, hosts) and preferred_host(row.slot, live) == own_host
     ]
 
 
 def plan_handovers(
-    me: str, slots: Iterable[SlotRow], hosts: Mapping[str, HostRow]
+    own_host: str, slots: Iterable[SlotRow], hosts: Mapping[str, HostRow]
 ) -> list[SlotRow]:
     """Return the slots that `me` holds and another live host should.
 
     A host that joins gets its share this way; one that leaves gives up all.
     """
     live = _live_ids(hosts.values())
-    mine = hosts.get(me)
+    mine = hosts.get(own_host)
     if mine is None or not live:
         return []
     return [
         row
         for row in slots
-        if row.host == me
+        if row.host == own_host
         and row.incarnation == mine.incarnation
-        and preferred_host(row.slot, live) != me
+        and preferred_host(row.slot, live) != own_host
     ]
--- a/packages/swifttide_core/src/swifttide_core/membership/tests/test_slot_plan.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/tests/test_slot_plan.py
@@ -8,7 +8,7 @@
     SlotRow,
     plan_claims,
     plan_handovers,
-    ring_neighbours,
+    ring_successors,
 )
 
 N_SLOTS = 32
@@ -18,43 +18,43 @@
     return HostRow(host, "z", incarnation, "", "", state=state)
 
 
-def hosts_of(*rows):
+def rows_by_host(*rows):
     return {row.host: row for row in rows}
 
 
 class TestPlanClaims:
     def test_live_hosts_claim_each_free_slot_once(self):
-        hosts = hosts_of(host_row("h0"), host_row("h1"))
+        hosts = rows_by_host(host_row("h0"), host_row("h1"))
         slots = [SlotRow(slot) for slot in range(N_SLOTS)]
         claimed = [r.slot for h in hosts for r in plan_claims(h, slots, hosts)]
         assert sorted(claimed) == list(range(N_SLOTS))
 
-    def test_slots_of_an_earlier_life_are_free(self):
+    def test_slots_of_previous_incarnation_are_free(self):
         """A host restarts under its old id. Its new process knows nothing of the
         work it had, so its slots count as free until it claims them again.
         """
-        hosts = hosts_of(host_row("h0", incarnation="2"))
+        hosts = rows_by_host(host_row("h0", incarnation="2"))
         slots = [SlotRow(0, "h0", "1", epoch=4)]
         assert plan_claims("h0", slots, hosts) == slots
 
     def test_paused_but_not_deposed_holder_keeps_its_slots(self):
-        hosts = hosts_of(host_row("h0"), host_row("h1"))
+        hosts = rows_by_host(host_row("h0"), host_row("h1"))
         slots = [SlotRow(s, "h1", "1", epoch=1) for s in range(N_SLOTS)]
         assert plan_claims("h0", slots, hosts) == []
 
 
 class TestPlanHandovers:
-    def test_leaving_host_gives_up_all(self):
-        hosts = hosts_of(host_row("h0", HostState.LEAVING), host_row("h1"))
+    def test_leaving_host_hands_over_all_slots(self):
+        hosts = rows_by_host(host_row("h0", HostState.LEAVING), host_row("h1"))
         slots = [SlotRow(s, "h0", "1", epoch=1) for s in range(N_SLOTS)]
         assert plan_handovers("h0", slots, hosts) == slots
 
-    def test_last_host_keeps_what_nobody_can_take(self):
-        hosts = hosts_of(host_row("h0", HostState.LEAVING))
+    def test_last_host_keeps_its_slots(self):
+        hosts = rows_by_host(host_row("h0", HostState.LEAVING))
         assert plan_handovers("h0", [SlotRow(0, "h0", "1", 1)], hosts) == []
 
     def test_joining_host_gets_its_share(self):
-        hosts = hosts_of(host_row("h0"), host_row("h1"))
+        hosts = rows_by_host(host_row("h0"), host_row("h1"))
         slots = [SlotRow(s, "h0", "1", epoch=1) for s in range(N_SLOTS)]
         moved = plan_handovers("h0", slots, hosts)
         freed = [replace(row, host="", incarnation="") for row in moved]
@@ -64,4 +64,4 @@
 
 class TestRingNeighbours:
     def test_wraps_around(self):
-        assert ring_neighbours("c", "abcd", n=2) == ["d", "a"]
+        assert ring_successors("c", "abcd", n=2) == ["d", "a"]
--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -3,7 +3,7 @@
 import random
 from pathlib import Path
 
-from swifttide_core.membership import HostRow, LeaseTimes, OutageTimes
+from swifttide_core.membership import ExtensionTimes, HostRow, LeaseTimes
 from swifttide_daemon._daemon import Daemon
 from swifttide_daemon._health import Health
 from swifttide_daemon.calls import CallTable
@@ -114,7 +114,7 @@
             self.keeper,
             self.platform,
             self.peer_client,
-            OutageTimes(promise_seconds=times.lease_seconds),
+            ExtensionTimes(promise_seconds=times.lease_seconds),
         )
         self.membership = MembershipService.from_settings(
             cfg, self.platform, self.keeper, self.outages
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_lease_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_lease_keeper.py
@@ -8,11 +8,11 @@
 
 from swifttide_core.membership import (
     ExtensionRound,
+    ExtensionTimes,
     HostLease,
     HostRow,
     HostState,
     LeaseTimes,
-    OutageTimes,
 )
 from swifttide_daemon.membership._rows import (
     HOSTS,
@@ -72,7 +72,7 @@
 
     def holds(self) -> bool:
         """Return whether this host may act as a holder right now."""
-        return self.lease.holds(time.monotonic())
+        return self.lease.is_valid(time.monotonic())
 
     def keep(self, knows_head: int) -> bool:
         """Register or renew; return whether the lease is confirmed now.
@@ -102,9 +102,9 @@
     def confirm(self, sent_at: float, row_version: int) -> None:
         """Note a renewal that a peer has sent on this host's behalf."""
         with self._lock:
-            self.lease = self.lease.confirmed(sent_at, row_version)
+            self.lease = self.lease.with_renewal(sent_at, row_version)
 
-    def extend(self, answers: ExtensionRound, times: OutageTimes) -> None:
+    def extend(self, answers: ExtensionRound, times: ExtensionTimes) -> None:
         """Let the lease stand as far as the zone's hosts have promised."""
         with self._lock:
             self.lease = answers.extend(self.lease, time.monotonic(), times)
@@ -137,7 +137,7 @@
             return False
         match outcome.ok:
             case Committed(versions=versions):
-                self.lease = self.lease.confirmed(sent_at, versions[0])
+                self.lease = self.lease.with_renewal(sent_at, versions[0])
                 if len(versions) > 1 and not self.registered_head:
                     self.registered_head = versions[1]
                 return True
@@ -160,7 +160,7 @@
             return
         log.warning("lease lost: another host deposed this incarnation")
         self.registered_head = 0
-        self.lease = self.lease.lost()
+        self.lease = self.lease.without_registration()
 
 
 def _is_same_life(row: HostRow, own: HostRow) -> bool:
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_outage_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_outage_service.py
@@ -9,11 +9,11 @@
 
 from swifttide_core.membership import (
     ExtensionRound,
+    ExtensionTimes,
     HostRow,
-    OutageTimes,
     PlatformSeen,
     Promise,
-    PromiseBook,
+    PromiseState,
 )
 from swifttide_daemon.membership._lease_keeper import LeaseKeeper
 from swifttide_daemon.membership._rows import HOSTS
@@ -51,7 +51,7 @@
         Lease of this host.
     platform : PlatformClient
     peers : PeerClient
-    times : OutageTimes
+    times : ExtensionTimes
     """
 
     def __init__(
@@ -59,13 +59,13 @@
         keeper: LeaseKeeper,
         platform: PlatformClient,
         peers: PeerClient,
-        times: OutageTimes,
+        times: ExtensionTimes,
     ) -> None:
         self.keeper = keeper
         self.platform = platform
         self.peers = peers
         self.times = times
-        self._book = PromiseBook(keeper.row.host)
+        self._book = PromiseState(keeper.row.host)
         self._lock = threading.Lock()
 
     def may_depose(self) -> bool:
@@ -109,8 +109,8 @@
         for answer in self._ask_all(list(urls.values())):
             found = answer.promise or answer.seen
             if found is not None:
-                asked = asked.noted(found)
-        for host in sorted(asked.relays):
+                asked = asked.with_answer(found)
+        for host in sorted(asked.relay_hosts):
             if self._renew_through(urls[host]):
                 return
         self.keeper.extend(asked, self.times)
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_service.py
@@ -9,13 +9,13 @@
 from swifttide_core.membership import (
     HostRow,
     HostState,
+    LeaseMonitor,
     LeaseTimes,
-    LeaseWatch,
     SlotRow,
-    depose_wait,
+    depose_delay_seconds,
     plan_claims,
     plan_handovers,
-    ring_neighbours,
+    ring_successors,
 )
 from swifttide_core.slots import SlotKind, slot_of
 from swifttide_daemon.membership._lease_keeper import LeaseKeeper
@@ -75,7 +75,7 @@
         self.platform = platform
         self.times = times
         self.n_slots = n_slots
-        self.watch = LeaseWatch.from_times(times)
+        self.watch = LeaseMonitor.from_times(times)
         self.view = ZoneView()
         self.others = OtherZones(reader)
         self._known_head = 0
@@ -157,7 +157,7 @@
 
     def lease_remaining(self) -> float:
         """Return the seconds for which this host may still act as a holder."""
-        return self.keeper.lease.remaining(time.monotonic())
+        return self.keeper.lease.remaining_seconds(time.monotonic())
 
     def holder(self, kind: SlotKind, key: str, zone: str = "") -> HostRow | None:
         """Return the host that decides for a key, or None while nobody does."""
@@ -184,7 +184,7 @@
     def neighbours(self) -> list[HostRow]:
         """Return the hosts that this one watches."""
         hosts = {row.host: row for row in self.zone_hosts()}
-        return [hosts[h] for h in ring_neighbours(self.me.host, hosts)]
+        return [hosts[h] for h in ring_successors(self.me.host, hosts)]
 
     def hosts_elsewhere(self) -> list[HostRow]:
         """Return one live host of each other zone."""
@@ -284,7 +284,7 @@
 
     def _watch_neighbours(self) -> None:
         neighbours = self.neighbours()
-        self.watch.forget_all_but(row.host for row in neighbours)
+        self.watch.retain_hosts(row.host for row in neighbours)
         for row in neighbours:
             found = self.platform.read(HOSTS, row.key)
             if found.is_ok() and found.ok is not None:
@@ -292,11 +292,11 @@
         if not self.outages.may_depose():
             return
         waits = {row.host: self._depose_wait(row) for row in neighbours}
-        for host, version in self.watch.lapsed(time.monotonic(), waits).items():
+        for host, version in self.watch.expired_leases(time.monotonic(), waits).items():
             self._depose(self.view.hosts[host], version)
 
     def _depose_wait(self, row: HostRow) -> float:
-        return depose_wait(
+        return depose_delay_seconds(
             self.times,
             self.outages.times,
             row.knows_head,
--- a/tests/fuzz/test_membership_fuzz.py
+++ b/tests/fuzz/test_membership_fuzz.py
@@ -7,15 +7,15 @@
 
 from swifttide_core.membership import (
     ExtensionRound,
+    ExtensionTimes,
     HostLease,
     HostRow,
     HostState,
+    LeaseMonitor,
     LeaseTimes,
-    LeaseWatch,
-    OutageTimes,
-    PromiseBook,
+    PromiseState,
     SlotRow,
-    depose_wait,
+    depose_delay_seconds,
     plan_claims,
     plan_handovers,
 )
@@ -30,7 +30,7 @@
 from tests.fuzz._settings import run_fuzz
 
 TIMES = LeaseTimes(lease_seconds=6.0, renew_seconds=2.0, drift_margin_seconds=1.0)
-OUTAGE = OutageTimes(promise_seconds=6.0, limit_seconds=18.0)
+OUTAGE = ExtensionTimes(promise_seconds=6.0, max_extension_seconds=18.0)
 SLOTS = (0, 1, 2)
 NAMES = ("h1", "h2", "h3")
 JOINER = "h4"
@@ -47,8 +47,8 @@
     name: str
     life: int
     lease: HostLease = field(default_factory=lambda: HostLease.from_times(TIMES))
-    watch: LeaseWatch = field(default_factory=lambda: LeaseWatch.from_times(TIMES))
-    book: PromiseBook | None = None
+    watch: LeaseMonitor = field(default_factory=lambda: LeaseMonitor.from_times(TIMES))
+    book: PromiseState | None = None
     round: ExtensionRound | None = None
     incarnation: str = ""
     registered_head: int = 0
@@ -77,7 +77,7 @@
 
     def start(self, name):
         life = self.hosts[name].life + 1 if name in self.hosts else 1
-        self.hosts[name] = Host(name, life, book=PromiseBook(name))
+        self.hosts[name] = Host(name, life, book=PromiseState(name))
 
     def clock(self, host):
         return self.now * RATES[host.name] + host.life * 1000
@@ -126,7 +126,7 @@
             self.adopt_or_lose(host)
             return
         self.now += slow
-        host.lease = host.lease.confirmed(sent_at, version)
+        host.lease = host.lease.with_renewal(sent_at, version)
 
     def register(self, host, weather):
         if host.name in self.cut:
@@ -140,7 +140,7 @@
         except (NoAnswerError, ConflictError):
             return
         host.held.clear()
-        host.lease = host.lease.confirmed(sent_at, versions[0])
+        host.lease = host.lease.with_renewal(sent_at, versions[0])
         host.registered_head = versions[1]
 
     def own_row(self, host):
@@ -155,7 +155,7 @@
         if ours and row.state is not HostState.DEAD:
             host.lease = replace(host.lease, row_version=version)
         else:
-            host.lease = host.lease.lost()
+            host.lease = host.lease.without_registration()
             host.held.clear()
 
     def look(self, name):
@@ -182,13 +182,15 @@
     def depose(self, name, weather):
         host = self.hosts[name]
         now = self.clock(host)
-        if not host.lease.holds(now) or not host.book.may_depose(now):
+        if not host.lease.is_valid(now) or not host.book.may_depose(now):
             return
         waits = {
-            other: depose_wait(TIMES, OUTAGE, row.knows_head, host.registered_head)
+            other: depose_delay_seconds(
+                TIMES, OUTAGE, row.knows_head, host.registered_head
+            )
             for other, row in host.hosts.items()
         }
-        for other, version in host.watch.lapsed(now, waits).items():
+        for other, version in host.watch.expired_leases(now, waits).items():
             dead = replace(host.hosts[other], state=HostState.DEAD)
             writes = [Write("hosts", other, version, dead), self.head_write(host)]
             own = Check("hosts", host.name, host.lease.row_version)
@@ -200,7 +202,7 @@
     def claim(self, name, weather):
         host = self.hosts[name]
         now = self.clock(host)
-        if not host.lease.holds(now) or not host.book.may_depose(now):
+        if not host.lease.is_valid(now) or not host.book.may_depose(now):
             return
         rows = plan_claims(host.name, host.slots, host.hosts)
         claimed = [
@@ -213,7 +215,7 @@
     def hand_over(self, name, weather):
         host = self.hosts[name]
         rows = plan_handovers(host.name, host.slots, host.hosts)
-        if not host.lease.holds(self.clock(host)) or not rows:
+        if not host.lease.is_valid(self.clock(host)) or not rows:
             return
         host.held -= {row.slot for row in rows}
         host.given_up |= {row.slot for row in rows}
@@ -259,7 +261,7 @@
         host = self.hosts[name]
         same_round = host.round is not None and host.round.sent_at == sent_at
         if host.life == life and same_round:
-            host.round = host.round.noted(answer)
+            host.round = host.round.with_answer(answer)
             host.lease = host.round.extend(host.lease, self.clock(host), OUTAGE)
 
     @rule(
@@ -299,7 +301,7 @@
             holders = [
                 host.name
                 for host in self.hosts.values()
-                if slot in host.held and host.lease.holds(self.clock(host))
+                if slot in host.held and host.lease.is_valid(self.clock(host))
             ]
             assert len(holders) <= 1, f"slot {slot} is held by {holders}"
 
@@ -344,7 +346,7 @@
         machine.start(JOINER)
         self.live(machine, ALL, 12)
         assert any(machine.hosts["h1"].held), "promises carried no lease"
-        assert machine.hosts["h1"].lease.holds(machine.clock(machine.hosts["h1"]))
+        assert machine.hosts["h1"].lease.is_valid(machine.clock(machine.hosts["h1"]))
 
     def test_host_that_joins_unseen_takes_over_after_the_limit(self):
         """As before, for longer: nobody may hold the slots twice, and they aren't
