--- a/packages/swifttide_core/src/swifttide_core/membership/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: leases of hosts, slots and who holds them."""
+"""Membership of hosts in a zone: their leases, and the slots that they hold."""
 
 from swifttide_core.membership._depose_delay import depose_delay_seconds
 from swifttide_core.membership._extension_round import ExtensionRound
--- a/packages/swifttide_core/src/swifttide_core/membership/_extension_round.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_extension_round.py
@@ -1,4 +1,8 @@
-"""One round of asking all hosts of the zone to let a lease stand."""
+"""Request to all hosts of a zone for the extension of a lease.
+
+Decides from the answers whether a host may extend its lease while the platform is
+unavailable. The module `_depose_delay` describes the protocol.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -10,20 +14,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ExtensionRound:
-    """Answers to one request.
+    """Answers to one request for an extension.
 
     Parameters
     ----------
     sent_at : float
-        Monotonic seconds BEFORE the first request was sent.
+        Monotonic time BEFORE the first request was sent, in seconds.
     asked : frozenset of str
-        Every other host of the zone that isn't known to be dead.
+        All other hosts of the zone that are not known to be dead.
     promised : frozenset of str
         Hosts that promised in this round.
     seconds : float
-        Shortest promise of the round.
-    relays : frozenset of str
-        Hosts that see the platform.
+        Duration of the shortest promise.
+    relay_hosts : frozenset of str
+        Hosts that reach the platform and can relay the renewal.
     """
 
     sent_at: float
@@ -36,11 +40,11 @@
     def from_hosts(
         cls, now: float, hosts: Iterable[str], times: ExtensionTimes
     ) -> "ExtensionRound":
-        """Return a round that nobody has answered yet."""
+        """Return a round without answers."""
         return cls(now, frozenset(hosts), seconds=times.promise_seconds)
 
     def with_answer(self, answer: Promise | PlatformSeen) -> "ExtensionRound":
-        """Return the round with one answer more."""
+        """Return the round with another answer."""
         match answer:
             case Promise(host, seconds):
                 return replace(
@@ -57,19 +61,19 @@
         return self.asked <= self.promised
 
     def extend(self, lease: HostLease, now: float, times: ExtensionTimes) -> HostLease:
-        """Return the lease, prolonged when all promised while it was in force.
+        """Return the lease, extended if all hosts promised while it was valid.
 
         Notes
         -----
-        A lease that has lapsed isn't revived: between the lapse and the promises a
-        host that saw the platform may have deposed this one, and may have died since
-        without telling anybody.
+        An expired lease is not revived. Between its expiry and the promises, a host
+        that reached the platform may have deposed this host and then failed without
+        notifying any other host.
         """
         if not self.is_unanimous or not lease.is_valid(now):
             return lease
         margin = lease.times.drift_margin_seconds
         until = self.sent_at + self.seconds - margin
-        # Clocks drift over the whole outage, not only over the last promise.
+        # Clocks drift during the whole outage, not only during the last promise.
         drift = margin * times.max_extension_seconds / lease.times.lease_seconds
         limit = lease.renewal_sent_at + times.max_extension_seconds - drift
         return lease.with_extension(min(until, limit))
--- a/packages/swifttide_core/src/swifttide_core/membership/_extension_times.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_extension_times.py
@@ -1,21 +1,21 @@
-"""The times that an extension of leases without the platform runs by."""
+"""Durations that limit the extension of leases while the platform is unavailable."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class ExtensionTimes:
-    """Durations of promises.
+    """Durations of promises and extensions.
 
     Parameters
     ----------
     promise_seconds : float
-        How long a host that promises deposes and claims nothing. At most the lease: a
-        host that restarts forgets its promise, and watches a whole lease before it
-        deposes.
-    limit_seconds : float
-        Longest that promises carry a lease past its last confirmed renewal, and
-        how long a host waits before it deposes one that never knew of it.
+        Time for which a host that promises deposes no host and claims no slot. It is
+        at most the duration of a lease, because a host that restarts forgets its
+        promise, and monitors a lease row for one lease before it deposes the host.
+    max_extension_seconds : float
+        Longest time after its last confirmed renewal to which promises extend a lease.
+        A host also waits for this time before it deposes a host that never knew it.
     """
 
     promise_seconds: float = 6.0
--- a/packages/swifttide_core/src/swifttide_core/membership/_host_lease.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_host_lease.py
@@ -1,9 +1,11 @@
-"""A host's own lease, as it may believe in it.
+"""Validity of a host's own lease.
 
-A process can be frozen (SIGSTOP, a stalled disk of the hypervisor) right after it
-sent a renewal and wake up long after others took its slots. It would then still
-decide for programs that another host serves. The lease is therefore counted from
-BEFORE the renewal was sent, on the monotonic clock, and ends a margin early.
+Decides whether a host may act as the holder of its slots, from the times at which its
+confirmed renewals were sent. A process can be frozen (by SIGSTOP, or by a stalled disk
+of the hypervisor) right after it sent a renewal, and continue long after other hosts
+claimed its slots. It would then still decide for programs that another host serves. The
+lease is therefore counted from BEFORE the renewal was sent, on the monotonic clock, and
+ends early by the drift margin.
 """
 
 from dataclasses import dataclass, replace
@@ -22,11 +24,11 @@
     times : LeaseTimes
         Durations of the lease.
     row_version : int
-        Version of the lease row as last confirmed; 0 before registration.
-    good_until : float
-        Monotonic seconds until which the host may act as a holder.
-    confirmed_at : float
-        When the last confirmed renewal was sent.
+        Last confirmed version of the lease row; 0 before registration.
+    valid_until : float
+        Monotonic time until which the host may act as a slot holder, in seconds.
+    renewal_sent_at : float
+        Monotonic time at which the last confirmed renewal was sent, in seconds.
     """
 
     times: LeaseTimes
@@ -36,23 +38,23 @@
 
     @classmethod
     def from_times(cls, times: LeaseTimes) -> "HostLease":
-        """Return the lease of a host that hasn't registered yet."""
+        """Return the lease of a host that is not registered."""
         return cls(times=times)
 
     def is_valid(self, now: float) -> bool:
-        """Return whether the host may act as a holder at `now`."""
+        """Return whether the host may act as a slot holder at `now`."""
         return now < self.valid_until
 
     def remaining_seconds(self, now: float) -> float:
-        """Return the seconds that are left, at least 0."""
+        """Return the seconds until the lease expires, at least 0."""
         return max(0.0, self.valid_until - now)
 
     def with_renewal(self, sent_at: float, row_version: int) -> "HostLease":
-        """Return the lease after a renewal that was sent at `sent_at` took effect.
+        """Return the lease after the confirmation of a renewal sent at `sent_at`.
 
         Notes
         -----
-        An answer can overtake an earlier one; the lease only grows.
+        Answers can arrive out of order; an older one never shortens the lease.
         """
         valid_until = (
             sent_at + self.times.lease_seconds - self.times.drift_margin_seconds
@@ -65,9 +67,9 @@
         )
 
     def with_extension(self, until: float) -> "HostLease":
-        """Return the lease prolonged by the promises of all peers of the zone."""
+        """Return the lease extended by the promises of all other hosts of the zone."""
         return replace(self, valid_until=max(until, self.valid_until))
 
     def without_registration(self) -> "HostLease":
-        """Return the lease after another host deposed this incarnation."""
+        """Return an invalid lease, after another host deposed this incarnation."""
         return HostLease.from_times(self.times)
--- a/packages/swifttide_core/src/swifttide_core/membership/_host_row.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_host_row.py
@@ -1,11 +1,11 @@
-"""The row of a host in the platform's table ``hosts``."""
+"""Lease row of a host in the platform's table ``hosts``."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class HostState(StrEnum):
-    """Life of a host's incarnation."""
+    """State of one incarnation of a host."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -14,24 +14,25 @@
 
 @dataclass(frozen=True, slots=True)
 class HostRow:
-    """One lease a host, renewed for all its slots at once.
+    """Lease row of a host; one renewal covers all slots of the host.
 
     Parameters
     ----------
     host, zone : str
         Id of the host and its availability zone.
     incarnation : str
-        Changes with each start and each loss of the lease, so that slots of an
-        earlier life are never taken for one's own.
+        Id that changes with each start and each loss of the lease, so that the host
+        never acts as the holder of slots that a previous incarnation claimed.
     caller_url, peer_url : str
-        Where callers and peers reach it.
+        Addresses of the host for callers and for other hosts.
     renewal : int
-        Counts renewals; a change shows watchers that the host lives.
+        Number of renewals. A change shows monitoring hosts that the host is alive.
     knows_head : int
-        Head version of the zone that the host knew when it last renewed: it asks all
-        hosts up to there before it prolongs its lease without the platform.
+        Head version of the zone that the host knew at its last renewal. It asks all
+        hosts registered up to this version before it extends its lease without the
+        platform.
     state : HostState
-        A dead incarnation never comes back; its slots are free to claim.
+        A dead incarnation never becomes live again; other hosts may claim its slots.
     """
 
     host: str
--- a/packages/swifttide_core/src/swifttide_core/membership/_lease_monitor.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_lease_monitor.py
@@ -1,10 +1,11 @@
-"""Watching other hosts' leases until they lapse.
-
-Load pattern: none; this runs all the time. With 380 hosts, each reading all lease
-rows, the platform would serve 72,000 rows a second. A host therefore watches only
-its next neighbours in the ring of the zone's hosts; others learn of a death
-from the zone's head row. When neighbours die together, the ring closes over them one
-watch period later.
+"""Detection of expired leases of other hosts.
+
+Decides which hosts have failed, from the versions of their lease rows and the times at
+which this host read them. It runs permanently, under any load. If each of 380 hosts
+read all lease rows, the platform would serve 72,000 rows per second. A host therefore
+monitors only its successors in the ring of the zone's hosts, and the other hosts learn
+of a failure from the head row of the zone. If adjacent hosts fail together, the ring
+closes without them one monitoring period later.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,7 +14,8 @@
 from swifttide_core.membership._lease_times import LeaseTimes
 
 N_MONITORED_NEIGHBOURS = 3
-"""Neighbours that a host watches: two may die with it before a death goes unseen."""
+"""Number of successors that a host monitors. Each host is monitored by three others, so
+that its failure is detected even if two of them fail with it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +26,7 @@
 
 
 class LeaseMonitor:
-    """Lease rows of neighbours, and since when each is unchanged.
+    """Versions of monitored lease rows, and the times since which they are unchanged.
 
     Parameters
     ----------
@@ -38,16 +40,17 @@
 
     @classmethod
     def from_times(cls, times: LeaseTimes) -> "LeaseMonitor":
-        """Return a watch that has seen nothing."""
+        """Return a monitor without observations."""
         return cls(times)
 
     def observe(self, now: float, host: str, version: int) -> None:
-        """Note the version of a host's lease row as read at `now`.
+        """Record the version of a host's lease row as read at `now`.
 
-        `now` must be taken AFTER the answer came, so that the wait starts late
-        rather than early. A row that wasn't read for a whole lease starts afresh:
-        after an outage of the platform every row has stood still, and the first host
-        to come back would otherwise depose all others before they can renew.
+        `now` must be taken AFTER the answer arrived, so that the delay starts late
+        rather than early. The delay starts again if the row was not read for the
+        duration of a lease. After an outage of the platform, no row has changed, and
+        the first host to reach the platform would otherwise depose all other hosts
+        before they can renew their leases.
         """
         seen = self._observations.get(host)
         is_unchanged = seen is not None and seen.version == version
@@ -58,7 +61,7 @@
         self._observations[host] = _Observation(version, since, now)
 
     def retain_hosts(self, hosts: Iterable[str]) -> None:
-        """Drop sightings of hosts that are no longer watched."""
+        """Remove the observations of all hosts except those given."""
         wanted = set(hosts)
         self._observations = {
             h: s for h, s in self._observations.items() if h in wanted
@@ -67,15 +70,22 @@
     def expired_leases(
         self, now: float, delay_seconds: Mapping[str, float] | None = None
     ) -> dict[str, int]:
-        """Return the hosts whose lease has lapsed, with the version to depose.
+        """Return the hosts whose lease has expired.
 
         Parameters
         ----------
         now : float
-            Monotonic seconds.
-        waits : mapping of str to float, optional
-            Seconds to wait by host (see `depose_wait`); a lease and the margin
-            where it has none.
+            Monotonic time, in seconds.
+        delay_seconds : mapping of str to float, optional
+            Seconds for which the row of each host must be unchanged, see the function
+            `depose_delay_seconds`. The default is the duration of a lease and the drift
+            margin.
+
+        Returns
+        -------
+        dict of str to int
+            Observed version of the lease row by host. A host is deposed by a write on
+            condition of this version.
         """
         default_seconds = self.times.lease_seconds + self.times.drift_margin_seconds
         delay_seconds = delay_seconds or {}
--- a/packages/swifttide_core/src/swifttide_core/membership/_lease_times.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_lease_times.py
@@ -1,4 +1,4 @@
-"""The times that a lease runs by."""
+"""Durations of a host's lease."""
 
 from dataclasses import dataclass
 
@@ -10,13 +10,13 @@
     Parameters
     ----------
     lease_seconds : float
-        How long a confirmed renewal is good for.
+        Time for which a confirmed renewal is valid, counted from sending it.
     renew_seconds : float
-        Pause between renewals.
+        Interval between renewals.
     drift_margin_seconds : float
-        What two monotonic clocks may drift apart within one lease, plus the time
-        between a check of the lease and the act that relies on it. The holder stops
-        this much early, a taker waits this much longer.
+        Largest drift between two monotonic clocks during one lease, plus the time
+        between a check of the lease and the action that relies on it. The holder stops
+        earlier by this margin, and a host that deposes it waits longer by it.
     """
 
     lease_seconds: float = 6.0
--- a/packages/swifttide_core/src/swifttide_core/membership/_promise.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_promise.py
@@ -1,18 +1,18 @@
-"""What a host answers to one that can't renew its lease."""
+"""Answers to a host that cannot renew its lease and requests an extension."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """The host sees no platform and deposes and claims nothing for a while.
+    """The host cannot reach the platform; it will depose no host and claim no slot.
 
     Parameters
     ----------
     host : str
-        Host that promises.
+        Id of the promising host.
     seconds : float
-        For how long, counted by the asker from before it asked.
+        Duration of the promise. The asking host counts it from before its request.
     """
 
     host: str
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSeen:
-    """The host sees the platform and relays the renewal instead.
+    """The host reaches the platform and can relay the renewal instead.
 
     Parameters
     ----------
     host : str
-        Host that can relay.
+        Id of the host that can relay the renewal.
     """
 
     host: str
--- a/packages/swifttide_core/src/swifttide_core/membership/_promise_state.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_promise_state.py
@@ -1,4 +1,7 @@
-"""What a host has promised to others."""
+"""Promises that a host has made to hosts that cannot renew their leases.
+
+Decides whether a host may depose other hosts and claim slots.
+"""
 
 from dataclasses import dataclass, replace
 
@@ -7,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseState:
-    """Promises of one process to depose and claim nothing.
+    """Promises of one process to depose no host and claim no slot.
 
     Parameters
     ----------
     host : str
         Id of this host.
-    until : float
-        Monotonic seconds at which the last promise has run out.
+    promised_until : float
+        Monotonic time at which the last promise ends, in seconds.
     """
 
     host: str
@@ -23,20 +26,20 @@
     def answer(
         self, now: float, promise_seconds: float, sees_platform: bool
     ) -> tuple["PromiseState", Promise | PlatformSeen]:
-        """Return the book after a request at `now`, and the answer.
+        """Return the state after a request at `now`, and the answer.
 
         Notes
         -----
-        A wrong `sees_platform` costs an extension or a relay, never safety: what
-        counts is that a host which promised keeps to it, also once the platform is
-        back.
+        If `sees_platform` is wrong, an extension or a relayed renewal may fail, but
+        safety is not affected. It depends only on each host keeping its promise, also
+        after the platform is back.
         """
         if sees_platform:
             return self, PlatformSeen(self.host)
-        book = replace(
+        state = replace(
             self, promised_until=max(self.promised_until, now + promise_seconds)
         )
-        return book, Promise(self.host, promise_seconds)
+        return state, Promise(self.host, promise_seconds)
 
     def may_depose(self, now: float) -> bool:
         """Return whether this host may depose hosts and claim slots at `now`."""
--- a/packages/swifttide_core/src/swifttide_core/membership/_slot_plan.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_slot_plan.py
@@ -1,4 +1,8 @@
-"""Which slots a host should claim and which it should hand over."""
+"""Assignment of slots to hosts.
+
+Decides which slots a host should claim and which it should hand over, from the rows of
+the slots and of the hosts. Each slot belongs to the preferred one of the live hosts.
+"""
 
 from collections.abc import Iterable, Mapping
 
@@ -12,7 +16,7 @@
 
 
 def is_held(row: SlotRow, hosts: Mapping[str, HostRow]) -> bool:
-    """Return whether the incarnation in a slot row may still act as its holder."""
+    """Return whether the incarnation in a slot row may still act as the holder."""
     holder = hosts.get(row.host)
     if holder is None or holder.incarnation != row.incarnation:
         return False
@@ -22,21 +26,21 @@
 def plan_claims(
     own_host: str, slots: Iterable[SlotRow], hosts: Mapping[str, HostRow]
 ) -> list[SlotRow]:
-    """Return the free slots that `me` should claim.
+    """Return the free slots that this host should claim.
 
     Parameters
     ----------
-    me : str
+    own_host : str
         Id of this host.
     slots : iterable of SlotRow
         All slots of the zone.
     hosts : mapping of str to HostRow
-        Host rows of the zone, dead ones included.
+        Host rows of the zone by host id, including dead hosts.
 
     Returns
     -------
     list of SlotRow
-        Rows as read, for a claim conditional on their versions.
+        Rows as read. The claims are writes on condition of their versions.
     """
     live = _live_ids(hosts.values())
     return [
@@ -49,9 +53,10 @@
 def plan_handovers(
     own_host: str, slots: Iterable[SlotRow], hosts: Mapping[str, HostRow]
 ) -> list[SlotRow]:
-    """Return the slots that `me` holds and another live host should.
+    """Return the slots that this host holds, but another live host should hold.
 
-    A host that joins gets its share this way; one that leaves gives up all.
+    A joining host receives its share of the slots in this way, and a leaving host hands
+    over all its slots.
     """
     live = _live_ids(hosts.values())
     mine = hosts.get(own_host)
--- a/packages/swifttide_core/src/swifttide_core/membership/_slot_row.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/_slot_row.py
@@ -1,22 +1,22 @@
-"""The row of a slot in the platform's table ``slots``."""
+"""Row of a slot in the platform's table ``slots``."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class SlotRow:
-    """Who decides for a slot.
+    """Row that names the holder of a slot, the host that decides for it.
 
     Parameters
     ----------
     slot : int
         Number of the slot in its zone.
     host, incarnation : str
-        Holder; empty after it was handed back.
+        Id and incarnation of the holder; empty after the slot was handed over.
     epoch : int
-        Grows with each claim; the fencing number of every order and record.
+        Increases with each claim. It is the fencing token of all orders and records.
     version : int
-        Version of the row; every write of the holder is conditional on it.
+        Version of the row. Each write of the holder is conditional on it.
     """
 
     slot: int
--- a/packages/swifttide_core/src/swifttide_core/membership/tests/test_host_lease.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/tests/test_host_lease.py
@@ -1,4 +1,4 @@
-"""A host's belief in its own lease, against those who wait for its lapse."""
+"""Tests of a host's own lease, and of its expiry as seen by monitoring hosts."""
 
 from swifttide_core.membership import HostLease, LeaseMonitor, LeaseTimes
 
@@ -7,9 +7,11 @@
 
 class TestHostLease:
     def test_lease_of_frozen_host_ends_before_others_may_depose_it(self):
-        """A host is frozen between sending a renewal and reading its answer. Were the
-        lease counted from the answer, it would go on deciding while another host
-        already does, and a customer would get its rate twice.
+        """Guards against two hosts that decide for the same slots.
+
+        A host is frozen between sending a renewal and reading the answer. If the lease
+        were counted from the answer, the host would continue after another host claimed
+        its slots, and a customer would get twice its rate.
         """
         sent_at, read_at = 100.0, 160.0
         lease = HostLease.from_times(TIMES).with_renewal(sent_at, row_version=1)
@@ -40,9 +42,11 @@
         assert not watch.expired_leases(7.0)
 
     def test_leases_do_not_expire_right_after_platform_outage(self):
-        """The platform is down for longer than a lease, so that no row changes. The
-        first host that sees it again would depose all others, whose programs would
-        lose their place and whose turns under way would be thrown away.
+        """Guards against deposing all other hosts after an outage of the platform.
+
+        No row changes during an outage that is longer than a lease. If the first host
+        that reaches the platform again deposed the others, their programs would lose
+        their places, and their turns in progress would be discarded.
         """
         watch = LeaseMonitor.from_times(TIMES)
         watch.observe(0.0, "h0", 1)
--- a/packages/swifttide_core/src/swifttide_core/membership/tests/test_slot_plan.py
+++ b/packages/swifttide_core/src/swifttide_core/membership/tests/test_slot_plan.py
@@ -1,4 +1,4 @@
-"""Claims and hand-overs of slots."""
+"""Tests of the slots that hosts claim and hand over."""
 
 from dataclasses import replace
 
@@ -30,8 +30,10 @@
         assert sorted(claimed) == list(range(N_SLOTS))
 
     def test_slots_of_previous_incarnation_are_free(self):
-        """A host restarts under its old id. Its new process knows nothing of the
-        work it had, so its slots count as free until it claims them again.
+        """Guards against a restarted host acting for slots of its old process.
+
+        The new process has the same host id, but does not know the state of the old
+        one, so that the slots count as free until it claims them again.
         """
         hosts = rows_by_host(host_row("h0", incarnation="2"))
         slots = [SlotRow(0, "h0", "1", epoch=4)]
