--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_lending_record.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_lending_record.py
@@ -205,17 +205,19 @@
     async def write(self) -> bool:
         """Write the current record; return whether the store confirmed it."""
         async with self._writing:
-            told_ms = self._store_now_ms
+            written_ms = self._store_now_ms
             # Set before the record is sent, because the record may take effect even if
             # the answer is lost.
-            self._last_write_ms = told_ms
+            self._last_write_ms = written_ms
             self._lending_delay_ms = max(
                 MIN_LENDING_DELAY_MS,
                 int(1000 * LENDING_DELAY_INTERVALS * self._interval_seconds()),
             )
             tx = Transaction(
                 conditions=(Condition(self._row_key, self._version),),
-                puts=(Put(self._row_key, msgspec.json.encode(self._state(told_ms))),),
+                puts=(
+                    Put(self._row_key, msgspec.json.encode(self._state(written_ms))),
+                ),
             )
             match await self._store.commit(tx):
                 case Applied(version, now_ms):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_token_lender.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/budgets/_token_lender.py
@@ -95,6 +95,7 @@
         self._log = log
         self._loans: dict[str, Loan] = {}
         self._locks = tuple(asyncio.Lock() for _ in range(N_SLOTS))
+        # Monotonic times from which this host may lend, by slot, in seconds.
         self._taken_over_slots: dict[int, float] = {}
         self._stopped = False
 
@@ -154,8 +155,8 @@
             # Set before the record is written, so that nothing is lent whether or not
             # the write succeeds.
             loan.released, loan.left = True, 0
-            stands = await self._write_record()
-        return ReleaseVerdict.RELEASED if stands else ReleaseVerdict.LATER
+            is_recorded = await self._write_record()
+        return ReleaseVerdict.RELEASED if is_recorded else ReleaseVerdict.LATER
 
     def _lock(self, key) -> asyncio.Lock:
         return self._locks[slot_of(key)]
