--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -206,7 +206,7 @@
         caller_app = App(
             self._caller_routes(),
             limits.max_body_bytes,
-            before_body=self.authenticator.stranger,
+            before_body=self.authenticator.refuse_unknown_key,
         )
         handlers = PeerHandlers(
             self.membership,
--- a/packages/swifttide_daemon/src/swifttide_daemon/_daemon.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_daemon.py
@@ -107,7 +107,7 @@
     def _drain(self) -> None:
         ends_at = time.monotonic() + DRAIN_SECONDS
         while time.monotonic() < ends_at:
-            if self.gate.n_inside() == 0 and self.table.n_running() == 0:
+            if self.gate.n_in_flight() == 0 and self.table.n_running() == 0:
                 break
             time.sleep(HAND_OVER_PAUSE_SECONDS)
         outcomes_until = time.monotonic() + OUTCOME_SECONDS
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_authenticator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_authenticator.py
@@ -44,7 +44,7 @@
         self.config = config
         self.operator_hashes = operator_hashes
 
-    def stranger(self, req: Request) -> Refusal | None:
+    def refuse_unknown_key(self, req: Request) -> Refusal | None:
         """Return the refusal of a request whose key nobody was granted, or None."""
         found = self.customer(req)
         return (
@@ -56,21 +56,21 @@
         key_hash = _key_hash(req)
         grant = self.config.key(key_hash) if key_hash else None
         if grant is None or not grant.customer:
-            return Error(_unauthenticated())
+            return Error(_unknown_key_refusal())
         if self.config.is_stale():
-            return Error(_stale())
+            return Error(_stale_configuration_refusal())
         return Ok(Identity(key_hash, grant.customer))
 
     def operator(self, req: Request) -> Result[Identity, Refusal]:
         """Return the operator of a request's key."""
         key_hash = _key_hash(req)
         if not key_hash:
-            return Error(_unauthenticated())
+            return Error(_unknown_key_refusal())
         if any(hmac.compare_digest(key_hash, known) for known in self.operator_hashes):
             return Ok(Identity(key_hash, ""))
         grant = self.config.key(key_hash)
         if grant is None:
-            return Error(_unauthenticated())
+            return Error(_unknown_key_refusal())
         if not grant.operator:
             return Error(Refusal(Reason.FORBIDDEN, "the key is not an operator's"))
         return Ok(Identity(key_hash, ""))
@@ -89,13 +89,13 @@
     return sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
-def _unauthenticated() -> Refusal:
+def _unknown_key_refusal() -> Refusal:
     return Refusal(
         Reason.UNAUTHENTICATED, "expected a granted key as 'Authorization: Bearer KEY'"
     )
 
 
-def _stale() -> Refusal:
+def _stale_configuration_refusal() -> Refusal:
     return Refusal(
         Reason.PLATFORM_UNAVAILABLE,
         "this host has been cut off for too long to tell which keys still stand",
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_call_headers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_call_headers.py
@@ -8,8 +8,8 @@
 from swifttide_core.verdicts import Reason, Refusal
 from swifttide_daemon.web import Request
 
-NAME = re.compile(r"[A-Za-z0-9._:-]{1,128}\Z")
-TURN = re.compile(r"[1-9][0-9]{0,5}\Z")
+ID_PATTERN = re.compile(r"[A-Za-z0-9._:-]{1,128}\Z")
+TURN_PATTERN = re.compile(r"[1-9][0-9]{0,5}\Z")
 """A longer one is refused, not cut: it would run as another turn than was asked for."""
 
 
@@ -41,20 +41,26 @@
             ("idempotency_key", "idempotency-key"),
         ):
             value = req.header(header)
-            if value and not NAME.match(value):
+            if value and not ID_PATTERN.match(value):
                 return Error(
-                    _bad(header, "letters, digits and '._:-', at most 128 of them")
+                    _invalid_header(
+                        header, "letters, digits and '._:-', at most 128 of them"
+                    )
                 )
             values[field] = value
         if not values["profile"]:
-            return Error(_bad("swifttide-profile", "the name of a profile"))
+            return Error(_invalid_header("swifttide-profile", "the name of a profile"))
         if values["parent"] and not values["program"]:
-            return Error(_bad("swifttide-program", "an id beside swifttide-parent"))
+            return Error(
+                _invalid_header("swifttide-program", "an id beside swifttide-parent")
+            )
         turn = req.header("swifttide-turn")
-        if turn and not TURN.match(turn):
-            return Error(_bad("swifttide-turn", "a whole number from 1 to 999999"))
+        if turn and not TURN_PATTERN.match(turn):
+            return Error(
+                _invalid_header("swifttide-turn", "a whole number from 1 to 999999")
+            )
         return Ok(cls(turn=int(turn) if turn else None, **values))
 
 
-def _bad(header: str, expected: str) -> Refusal:
+def _invalid_header(header: str, expected: str) -> Refusal:
     return Refusal(Reason.BAD_REQUEST, f"header {header}: expected {expected}")
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_chat_answer.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_chat_answer.py
@@ -18,11 +18,11 @@
 from swifttide_daemon.web import Response
 
 REQUEST_ID_HEADER = "Swifttide-Request-Id"
-SSE = "text/event-stream"
-KEEPALIVE = b": waiting\n\n"
+SSE_CONTENT_TYPE = "text/event-stream"
+SSE_KEEPALIVE = b": waiting\n\n"
 
 
-def whole_answer(call: Call, events: Iterator[CallEvent]) -> Response:
+def completion_response(call: Call, events: Iterator[CallEvent]) -> Response:
     """Return the answer of a turn as one JSON body."""
     for event in events:
         match event:
@@ -36,11 +36,11 @@
                     ),
                 )
             case Failed(refusal):
-                return _refused(call, refusal)
-    return _refused(call, _broke_off())
+                return _refusal_response(call, refusal)
+    return _refusal_response(call, _incomplete_answer_refusal())
 
 
-def streamed_answer(call: Call, events: Iterator[CallEvent]) -> Response:
+def streaming_response(call: Call, events: Iterator[CallEvent]) -> Response:
     """Return the answer of a turn as server-sent events.
 
     The status line waits for the first piece of text, so that a refusal is still a
@@ -49,47 +49,47 @@
     for event in events:
         match event:
             case Failed(refusal):
-                return _refused(call, refusal)
+                return _refusal_response(call, refusal)
             case Content() | Finished():
-                body = _sse(call, chain([event], events))
-                headers = (("Content-Type", SSE), *_headers(call, 0))
+                body = _event_stream(call, chain([event], events))
+                headers = (("Content-Type", SSE_CONTENT_TYPE), *_headers(call, 0))
                 return Response(200, body, headers)
-    return _refused(call, _broke_off())
+    return _refusal_response(call, _incomplete_answer_refusal())
 
 
-def _sse(call: Call, events: Iterator[CallEvent]) -> Iterator[bytes]:
+def _event_stream(call: Call, events: Iterator[CallEvent]) -> Iterator[bytes]:
     """Yield server-sent events; an answer that lacks ``[DONE]`` isn't whole."""
-    text = _SentText()
+    text = _StreamedText()
     for event in events:
         match event:
             case Content(piece):
                 fresh = text.add(piece)
                 if fresh is None:
-                    yield _error(_differs())
+                    yield _sse_error(_text_mismatch_refusal())
                     return
                 if fresh:
-                    yield _data(_chunk(call, fresh))
+                    yield _sse_data(_chunk(call, fresh))
             case Reset():
-                text.start_over()
+                text.restart_generation()
             case Waiting():
-                yield KEEPALIVE
+                yield SSE_KEEPALIVE
             case Finished():
                 rest = text.complete(event.body.decode())
                 if rest is None:
-                    yield _error(_differs())
+                    yield _sse_error(_text_mismatch_refusal())
                     return
                 if rest:
-                    yield _data(_chunk(call, rest))
-                yield _data(_last_chunk(call, event))
+                    yield _sse_data(_chunk(call, rest))
+                yield _sse_data(_final_chunk(call, event))
                 yield b"data: [DONE]\n\n"
                 return
             case Failed(refusal):
-                yield _error(refusal)
+                yield _sse_error(refusal)
                 return
-    yield _error(_broke_off())
+    yield _sse_error(_incomplete_answer_refusal())
 
 
-class _SentText:
+class _StreamedText:
     """What the caller has of the text, when a turn has to be run again.
 
     Another engine may word its answer differently. Stitching the two together would
@@ -98,29 +98,29 @@
 
     def __init__(self) -> None:
         self._sent = ""
-        self._made = ""
+        self._generated = ""
 
-    def start_over(self) -> None:
+    def restart_generation(self) -> None:
         """Void what was generated; what was sent stays sent."""
-        self._made = ""
+        self._generated = ""
 
     def add(self, piece: str) -> str | None:
         """Return what of a piece is new to the caller; None when it contradicts."""
-        self._made += piece
-        return self._fresh()
+        self._generated += piece
+        return self._take_unsent()
 
     def complete(self, whole: str) -> str | None:
         """Return what is missing of the whole text; None when it contradicts."""
-        self._made = whole
-        return self._fresh()
+        self._generated = whole
+        return self._take_unsent()
 
-    def _fresh(self) -> str | None:
-        if self._sent.startswith(self._made):
+    def _take_unsent(self) -> str | None:
+        if self._sent.startswith(self._generated):
             return ""
-        if not self._made.startswith(self._sent):
+        if not self._generated.startswith(self._sent):
             return None
-        fresh = self._made[len(self._sent) :]
-        self._sent = self._made
+        fresh = self._generated[len(self._sent) :]
+        self._sent = self._generated
         return fresh
 
 
@@ -148,7 +148,7 @@
     }
 
 
-def _last_chunk(call: Call, event: Finished) -> dict[str, object]:
+def _final_chunk(call: Call, event: Finished) -> dict[str, object]:
     return {
         "id": call.request_id,
         "object": "chat.completion.chunk",
@@ -178,17 +178,17 @@
     return tuple(headers)
 
 
-def _refused(call: Call, refusal: Refusal) -> Response:
+def _refusal_response(call: Call, refusal: Refusal) -> Response:
     answer = Response.from_refusal(refusal, request_id=call.request_id)
     headers = (*answer.headers, (REQUEST_ID_HEADER, call.request_id))
     return Response(answer.status, answer.body, headers)
 
 
-def _data(value: dict[str, object]) -> bytes:
+def _sse_data(value: dict[str, object]) -> bytes:
     return b"data: " + msgspec.json.encode(value) + b"\n\n"
 
 
-def _error(refusal: Refusal) -> bytes:
+def _sse_error(refusal: Refusal) -> bytes:
     problem = {
         "status": refusal.status,
         "reason": refusal.reason,
@@ -199,7 +199,7 @@
     return b"event: error\ndata: " + msgspec.json.encode(problem) + b"\n\n"
 
 
-def _differs() -> Refusal:
+def _text_mismatch_refusal() -> Refusal:
     return Refusal(
         Reason.TARGET_FAILED,
         "the turn was run again and its text differs; send the same turn again",
@@ -208,7 +208,7 @@
     )
 
 
-def _broke_off() -> Refusal:
+def _incomplete_answer_refusal() -> Refusal:
     return Refusal(
         Reason.INTERNAL, "the answer broke off", verdict=Verdict.MAY_HAVE_RUN
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_gate.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_gate.py
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self.state = GateState.STARTING
-        self._n_inside = 0
+        self._n_in_flight = 0
         self._changed = threading.Condition()
 
     def set(self, state: GateState) -> None:
@@ -44,31 +44,31 @@
                     "this host is stopping; send the request again",
                     retry_after_seconds=1.0,
                 )
-            self._n_inside += 1
+            self._n_in_flight += 1
             return None
 
     def leave(self) -> None:
         """Count a request out."""
         with self._changed:
-            self._n_inside -= 1
+            self._n_in_flight -= 1
             self._changed.notify_all()
 
-    def n_inside(self) -> int:
+    def n_in_flight(self) -> int:
         """Return the requests under way."""
         with self._changed:
-            return self._n_inside
+            return self._n_in_flight
 
-    def wait_empty(self, seconds: float) -> bool:
+    def wait_until_idle(self, seconds: float) -> bool:
         """Wait until no request is under way; return whether that came about."""
         with self._changed:
-            return self._changed.wait_for(lambda: self._n_inside == 0, seconds)
+            return self._changed.wait_for(lambda: self._n_in_flight == 0, seconds)
 
-    def follow(self, chunks: Iterator[bytes]) -> Iterator[bytes]:
+    def track_body(self, chunks: Iterator[bytes]) -> Iterator[bytes]:
         """Yield the chunks of an answer and count its request out at the end."""
-        return _CountedOut(self, chunks)
+        return _TrackedBody(self, chunks)
 
 
-class _CountedOut:
+class _TrackedBody:
     """Chunks of an answer whose request is counted out exactly once.
 
     A generator that was never started doesn't run its cleanup when it is closed: a
@@ -78,7 +78,7 @@
     def __init__(self, gate: Gate, chunks: Iterator[bytes]) -> None:
         self._gate = gate
         self._chunks = chunks
-        self._inside = True
+        self._is_in_flight = True
 
     def __iter__(self) -> Iterator[bytes]:
         return self
@@ -87,7 +87,7 @@
         try:
             return next(self._chunks)
         except BaseException:
-            self._leave()
+            self._leave_once()
             raise
 
     def close(self) -> None:
@@ -95,9 +95,9 @@
         try:
             self._chunks.close()
         finally:
-            self._leave()
+            self._leave_once()
 
-    def _leave(self) -> None:
-        if self._inside:
-            self._inside = False
+    def _leave_once(self) -> None:
+        if self._is_in_flight:
+            self._is_in_flight = False
             self._gate.leave()
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_handlers.py
@@ -14,12 +14,15 @@
 from swifttide_daemon.entry._call_headers import CallHeaders
 from swifttide_daemon.entry._chat_answer import (
     REQUEST_ID_HEADER,
-    streamed_answer,
-    whole_answer,
+    completion_response,
+    streaming_response,
 )
 from swifttide_daemon.entry._dispatcher import Dispatcher
 from swifttide_daemon.entry._gate import Gate
-from swifttide_daemon.entry._input_checks import check_key_stays, check_service_path
+from swifttide_daemon.entry._input_checks import (
+    check_key_not_repeated,
+    check_service_path,
+)
 from swifttide_daemon.entry._program_roots import ProgramRoots
 from swifttide_daemon.limits import RateLimiter
 from swifttide_daemon.runners import ChatBody, must_not_repeat
@@ -29,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
+class AdmittedCall:
     """A request that has passed all checks at its entry host."""
 
     call: Call
@@ -71,13 +74,13 @@
 
     def chat(self, req: Request) -> Response:
         """Answer ``POST /v1/chat/completions``."""
-        return self._inside(lambda: self._chat(req))
+        return self._track_request(lambda: self._chat(req))
 
     def service(self, req: Request, service: str, path: str) -> Response:
         """Answer ``POST /v1/services/{service}/{path}``."""
-        return self._inside(lambda: self._service(req, service, path))
+        return self._track_request(lambda: self._service(req, service, path))
 
-    def _inside(self, answer) -> Response:
+    def _track_request(self, answer) -> Response:
         """Run a handler between entering and leaving the gate."""
         refusal = self.gate.enter()
         if refusal is not None:
@@ -93,28 +96,28 @@
         if isinstance(response.body, bytes):
             self.gate.leave()
             return response
-        return replace(response, body=self.gate.follow(response.body))
+        return replace(response, body=self.gate.track_body(response.body))
 
     def _chat(self, req: Request) -> Response:
         admitted = self._admit(req, CallKind.CHAT)
         if admitted.is_error():
-            return self._refuse("", admitted.error)
+            return self._refusal_response("", admitted.error)
         body = ChatBody.from_bytes(req.body)
         if body.is_error():
-            return self._refuse(admitted.ok.call.customer, body.error)
+            return self._refusal_response(admitted.ok.call.customer, body.error)
         admission = self.limiter.admit(admitted.ok.customer)
         if admission is not None:
-            return self._refuse(admitted.ok.call.customer, admission)
+            return self._refusal_response(admitted.ok.call.customer, admission)
         call = admitted.ok.call
         events = self._events(call, req)
         if body.ok.stream:
-            return streamed_answer(call, events)
-        return whole_answer(call, events)
+            return streaming_response(call, events)
+        return completion_response(call, events)
 
     def _service(self, req: Request, service: str, path: str) -> Response:
         admitted = self._admit(req, CallKind.SERVICE)
         if admitted.is_error():
-            return self._refuse("", admitted.error)
+            return self._refusal_response("", admitted.error)
         profile = admitted.ok.profile
         call = replace(
             admitted.ok.call,
@@ -123,10 +126,10 @@
             content_type=req.header("content-type"),
         )
         refusal = check_service_path(req, service, path)
-        refusal = refusal or _check_service(profile, call)
+        refusal = refusal or _check_service_call(profile, call)
         refusal = refusal or self.limiter.admit(admitted.ok.customer)
         if refusal is not None:
-            return self._refuse(call.customer, refusal)
+            return self._refusal_response(call.customer, refusal)
         for event in self._events(call, req):
             match event:
                 case Finished():
@@ -141,11 +144,11 @@
             Refusal(Reason.INTERNAL, "the answer broke off", Verdict.MAY_HAVE_RUN)
         )
 
-    def _admit(self, req: Request, kind: CallKind) -> Result[Admitted, Refusal]:
+    def _admit(self, req: Request, kind: CallKind) -> Result[AdmittedCall, Refusal]:
         identity = self.authenticator.customer(req)
         if identity.is_error():
             return identity
-        leak = check_key_stays(req)
+        leak = check_key_not_repeated(req)
         if leak is not None:
             return Error(leak)
         headers = CallHeaders.from_request(req)
@@ -164,11 +167,11 @@
         document = self.config.customer(customer)
         if document is None:
             return Error(Refusal(Reason.FORBIDDEN, f"no customer {customer!r}"))
-        return self._place(req, kind, identity.ok, headers.ok, profile).map(
-            lambda call: Admitted(call, profile, document)
+        return self._make_call(req, kind, identity.ok, headers.ok, profile).map(
+            lambda call: AdmittedCall(call, profile, document)
         )
 
-    def _place(
+    def _make_call(
         self,
         req: Request,
         kind: CallKind,
@@ -210,10 +213,10 @@
                 if grant is None and not isinstance(event, Finished):
                     # The connection was there before the key was withdrawn; it must
                     # not carry the rest of the answer.
-                    yield Failed(_withdrawn())
+                    yield Failed(_withdrawn_key_refusal())
                     return
                 if isinstance(event, Failed):
-                    self._note(call, event.refusal)
+                    self._record_refusal(call, event.refusal)
                     span.set(verdict=event.refusal.verdict.value)
                 elif isinstance(event, Finished):
                     span.set(verdict=Verdict.RAN.value)
@@ -227,7 +230,7 @@
                     )
                 yield event
 
-    def _refuse(self, customer: str, refusal: Refusal) -> Response:
+    def _refusal_response(self, customer: str, refusal: Refusal) -> Response:
         within = refusal.reason not in (
             Reason.RATE_LIMITED,
             Reason.UNAUTHENTICATED,
@@ -238,7 +241,7 @@
         )
         return Response.from_refusal(refusal)
 
-    def _note(self, call: Call, refusal: Refusal) -> None:
+    def _record_refusal(self, call: Call, refusal: Refusal) -> None:
         self.telemetry.metrics.refuse(
             call.customer, refusal.reason, refusal.verdict, within_rate=True
         )
@@ -253,7 +256,7 @@
         )
 
 
-def _check_service(profile: Profile, call: Call) -> Refusal | None:
+def _check_service_call(profile: Profile, call: Call) -> Refusal | None:
     if profile.services and call.service not in profile.services:
         return Refusal(
             Reason.FORBIDDEN, f"the profile doesn't allow service {call.service!r}"
@@ -267,7 +270,7 @@
     return None
 
 
-def _withdrawn() -> Refusal:
+def _withdrawn_key_refusal() -> Refusal:
     return Refusal(
         Reason.UNAUTHENTICATED,
         "the key was withdrawn while the call ran",
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_input_checks.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_input_checks.py
@@ -5,8 +5,10 @@
 from swifttide_core.verdicts import Reason, Refusal
 from swifttide_daemon.web import Request
 
-_SEGMENT = re.compile(r"[A-Za-z0-9_~:@!$&'()*+,;=-][A-Za-z0-9._~:@!$&'()*+,;=-]*\Z")
-SHORTEST_KEY = 16
+_PATH_SEGMENT = re.compile(
+    r"[A-Za-z0-9_~:@!$&'()*+,;=-][A-Za-z0-9._~:@!$&'()*+,;=-]*\Z"
+)
+MIN_KEY_LENGTH_CHARS = 16
 """Keys of ``swifttide key grant`` have 46 characters. A hand-made key of a few would
 be found in many an innocent text."""
 
@@ -31,7 +33,7 @@
         Path below it, percent-decoded.
     """
     segments = [service, *path.split("/")]
-    if not all(_SEGMENT.match(segment) for segment in segments):
+    if not all(_PATH_SEGMENT.match(segment) for segment in segments):
         return Refusal(
             Reason.BAD_REQUEST,
             "got a path with empty, dotted or encoded segments, expected plain ones "
@@ -45,7 +47,7 @@
     return None
 
 
-def check_key_stays(req: Request) -> Refusal | None:
+def check_key_not_repeated(req: Request) -> Refusal | None:
     """Refuse a request that repeats its key outside ``Authorization``.
 
     The body goes to a target and into the program's history, and ids go into rows,
@@ -53,7 +55,7 @@
     all of them.
     """
     key = req.header("authorization").removeprefix(_BEARER).strip()
-    if len(key) < SHORTEST_KEY:
+    if len(key) < MIN_KEY_LENGTH_CHARS:
         return None
     elsewhere = [v for n, v in req.headers.items() if n != "authorization"]
     texts = [req.path, req.query, *elsewhere]
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_handlers.py
@@ -9,7 +9,7 @@
 from swifttide_core.verdicts import Reason, Refusal, Verdict
 from swifttide_daemon.configuration import ConfigService
 from swifttide_daemon.entry._authenticator import Authenticator
-from swifttide_daemon.entry._call_headers import NAME
+from swifttide_daemon.entry._call_headers import ID_PATTERN
 from swifttide_daemon.programs import ProgramBook, platform_refusal
 from swifttide_daemon.store import Committed, Conflict, new_id
 from swifttide_daemon.targets import EngineClient
@@ -47,16 +47,16 @@
         identity = self.authenticator.customer(req)
         if identity.is_error():
             return Response.from_refusal(identity.error)
-        return self.show_of(identity.ok.customer, program)
+        return self.show_for_customer(identity.ok.customer, program)
 
     def end(self, req: Request, program: str) -> Response:
         """Answer ``DELETE /v1/programs/{program}``."""
         identity = self.authenticator.customer(req)
         if identity.is_error():
             return Response.from_refusal(identity.error)
-        return self.end_of(identity.ok.customer, program)
+        return self.end_for_customer(identity.ok.customer, program)
 
-    def show_of(self, customer: str, program: str) -> Response:
+    def show_for_customer(self, customer: str, program: str) -> Response:
         """Return a program of a customer, with its history."""
         row = self._read(customer, program)
         if row.is_error():
@@ -69,22 +69,22 @@
             turns.append(asdict(chunk.ok))
         return Response.from_json({**_summary(row.ok), "history": turns})
 
-    def end_of(self, customer: str, program: str) -> Response:
+    def end_for_customer(self, customer: str, program: str) -> Response:
         """End a program of a customer and release what it holds at engines."""
         row = self._read(customer, program)
         if row.is_error():
             return Response.from_refusal(row.error)
         if row.ok.state is not ProgramState.ENDED:
-            row = self._end(row.ok)
+            row = self._write_ended(row.ok)
             if row.is_error():
                 return Response.from_refusal(row.error)
         # Known here if this host holds the program; another holder counts it once the
         # program has been silent for long.
         self.book.note_ended(customer, row.ok.root)
-        self._release(row.ok)
+        self._release_caches(row.ok)
         return Response.from_json(_summary(row.ok))
 
-    def _end(self, row: ProgramRow) -> Result[ProgramRow, Refusal]:
+    def _write_ended(self, row: ProgramRow) -> Result[ProgramRow, Refusal]:
         """Write that a program has ended; its holder learns of it at its next write."""
         ended = replace(row, state=ProgramState.ENDED)
         outcome = self.store.write_rows((ended,), new_id())
@@ -105,7 +105,7 @@
                     )
                 )
 
-    def _release(self, row: ProgramRow) -> None:
+    def _release_caches(self, row: ProgramRow) -> None:
         """Order the engines at once; one that doesn't hear it is reconciled later."""
         program = "/".join((row.customer, row.root, row.program))
         for name in row.targets:
@@ -114,7 +114,7 @@
                 self.engines.release(target, program, row.version)
 
     def _read(self, customer: str, program: str) -> Result[ProgramRow, Refusal]:
-        if not NAME.match(program):
+        if not ID_PATTERN.match(program):
             return Error(Refusal(Reason.BAD_REQUEST, "got an odd program id"))
         row = self.store.read(customer, program)
         if row.is_error():
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_roots.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_roots.py
@@ -8,7 +8,7 @@
 from swifttide_core.verdicts import Reason, Refusal
 from swifttide_daemon.programs import ProgramStore
 
-MAX_KNOWN = 20_000
+MAX_CACHED_ROOTS = 20_000
 
 
 class ProgramRoots:
@@ -22,7 +22,7 @@
 
     def __init__(self, store: ProgramStore) -> None:
         self.store = store
-        self._known: OrderedDict[tuple[str, str], str] = OrderedDict()
+        self._root_by_parent: OrderedDict[tuple[str, str], str] = OrderedDict()
         self._lock = threading.Lock()
 
     def root(self, customer: str, program: str, parent: str) -> Result[str, Refusal]:
@@ -37,7 +37,7 @@
         if not parent:
             return Ok(program)
         with self._lock:
-            known = self._known.get((customer, parent))
+            known = self._root_by_parent.get((customer, parent))
         if known is not None:
             return Ok(known)
         row = self.store.read(customer, parent)
@@ -47,11 +47,11 @@
             return Error(
                 Refusal(Reason.NOT_FOUND, f"no program {parent!r} to be the parent")
             )
-        self._remember(customer, parent, row.ok.root)
+        self._cache_root(customer, parent, row.ok.root)
         return Ok(row.ok.root)
 
-    def _remember(self, customer: str, parent: str, root: str) -> None:
+    def _cache_root(self, customer: str, parent: str, root: str) -> None:
         with self._lock:
-            self._known[(customer, parent)] = root
-            if len(self._known) > MAX_KNOWN:
-                self._known.popitem(last=False)
+            self._root_by_parent[(customer, parent)] = root
+            if len(self._root_by_parent) > MAX_CACHED_ROOTS:
+                self._root_by_parent.popitem(last=False)
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_authenticator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_authenticator.py
@@ -36,12 +36,12 @@
 
 
 class TestAuthenticator:
-    def test_customers_key(self, authenticator):
+    def test_customer_key_is_not_an_operator_key(self, authenticator):
         identity = authenticator.customer(request("Bearer customer")).ok
         assert identity.customer == "club"
         assert authenticator.operator(request("Bearer customer")).error.status == 403
 
-    def test_cut_off_for_too_long(self):
+    def test_stale_configuration_refuses_customer_keys(self):
         """A zone is cut off from everything. A key that was withdrawn elsewhere in the
         meantime would work there for as long as the cut lasts.
         """
@@ -50,7 +50,7 @@
         assert refused.error.retry_after_seconds > 0
 
     @pytest.mark.parametrize("key", ["operator", "bootstrap"])
-    def test_operators_key(self, authenticator, key):
+    def test_operator_key_is_not_a_customer_key(self, authenticator, key):
         assert authenticator.operator(request(f"Bearer {key}")).is_ok()
         assert authenticator.customer(request(f"Bearer {key}")).error.status == 401
 
@@ -68,12 +68,12 @@
             "Bearer \udcff",
         ],
     )
-    def test_no_key(self, authenticator, value):
+    def test_missing_or_unknown_key_is_refused(self, authenticator, value):
         """Whoever has read a row or a settings file has hashes, not keys."""
         assert authenticator.customer(request(value)).error.status == 401
         assert authenticator.operator(request(value)).error.status == 401
-        assert authenticator.stranger(request(value)).status == 401
+        assert authenticator.refuse_unknown_key(request(value)).status == 401
 
     @pytest.mark.parametrize("key", ["customer", "operator", "bootstrap"])
-    def test_no_stranger(self, authenticator, key):
-        assert authenticator.stranger(request(f"Bearer {key}")) is None
+    def test_granted_key_is_not_refused(self, authenticator, key):
+        assert authenticator.refuse_unknown_key(request(f"Bearer {key}")) is None
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_dispatcher.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_dispatcher.py
@@ -28,10 +28,10 @@
 
 
 class TestHolder:
-    def test_single_call_stays_in_the_own_zone(self):
+    def test_single_call_stays_in_the_local_zone(self):
         assert holder(Membership(*ZONES)).zone == "zb"
 
-    def test_single_call_goes_on_where_the_own_zone_has_no_holder(self):
+    def test_single_call_moves_to_another_zone_without_a_local_holder(self):
         """Guards against single calls refused as a lease lapsed in one zone."""
         assert holder(Membership("za", "zc")).zone in ("za", "zc")
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_input_checks.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_input_checks.py
@@ -2,7 +2,10 @@
 
 import pytest
 
-from swifttide_daemon.entry._input_checks import check_key_stays, check_service_path
+from swifttide_daemon.entry._input_checks import (
+    check_key_not_repeated,
+    check_service_path,
+)
 from swifttide_daemon.web import Request
 
 KEY = "st-0123456789abcdef"
@@ -40,7 +43,7 @@
             "",
         ],
     )
-    def test_paths_that_a_target_may_read_otherwise(self, path):
+    def test_ambiguous_paths_are_refused(self, path):
         """A caller writes the path of a charge in a way that no prefix of the
         profile matches and the service resolves all the same: charged twice.
         """
@@ -53,9 +56,9 @@
         assert check_service_path(request(query="x=1"), "s", "p").status == 400
 
 
-class TestKeyStays:
+class TestKeyNotRepeated:
     def test_plain_request(self):
-        assert check_key_stays(request(body=b'{"messages": []}')) is None
+        assert check_key_not_repeated(request(body=b'{"messages": []}')) is None
 
     @pytest.mark.parametrize(
         "req",
@@ -67,14 +70,14 @@
             request(**{"x-api-key": KEY}),
         ],
     )
-    def test_key_elsewhere(self, req):
+    def test_key_outside_authorization_is_refused(self, req):
         """A client templates its key into a prompt or an id. A target, the history
         and the logs of every host would have it.
         """
-        refusal = check_key_stays(req)
+        refusal = check_key_not_repeated(req)
         assert refusal.status == 400
         assert KEY not in refusal.detail
 
     def test_short_keys_are_not_searched_for(self):
         req = Request("POST", "/", "", {"authorization": "Bearer a"}, b"banana")
-        assert check_key_stays(req) is None
+        assert check_key_not_repeated(req) is None
--- a/packages/swifttide_daemon/src/swifttide_daemon/operators/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/operators/_handlers.py
@@ -166,14 +166,14 @@
         identity = self.authenticator.operator(req)
         if identity.is_error():
             return Response.from_refusal(identity.error)
-        return self.programs.show_of(customer, program)
+        return self.programs.show_for_customer(customer, program)
 
     def end_program(self, req: Request, customer: str, program: str) -> Response:
         """Answer ``DELETE /v1/operator/programs/{customer}/{program}``."""
         identity = self.authenticator.operator(req)
         if identity.is_error():
             return Response.from_refusal(identity.error)
-        return self.programs.end_of(customer, program)
+        return self.programs.end_for_customer(customer, program)
 
     def _check(
         self, req: Request, kind: str
