--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -21,7 +21,7 @@
 from swifttide_daemon.operators import OperatorHandlers
 from swifttide_daemon.peering import Heartbeat, PeerHandlers
 from swifttide_daemon.peers import PeerClient, PeerProof
-from swifttide_daemon.programs import ProgramBook, ProgramStore
+from swifttide_daemon.programs import ProgramRegistry, ProgramStore
 from swifttide_daemon.recording import Recorder
 from swifttide_daemon.retention import CacheKeeper, ProgramJudge
 from swifttide_daemon.runners import (
@@ -128,7 +128,7 @@
         self.grants = GrantBook(self.membership, self.queues, self.peer_client)
         self.board = TargetBoard.from_config(self.config)
         self.strikes = StrikeService(self.membership, self.peer_client)
-        self.book = ProgramBook(
+        self.book = ProgramRegistry(
             ProgramStore(self.platform), self.telemetry.metrics.end_program
         )
         self.caches = CacheKeeper(
--- a/packages/swifttide_daemon/src/swifttide_daemon/calls/_call_table.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/calls/_call_table.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger(__name__)
 
-KEEP_ENDED_SECONDS = 30.0
+ENDED_CALL_RETENTION_SECONDS = 30.0
 """How long the events of an ended call wait for an entry host that lost them."""
 
 Runner = Callable[[Call, RunningCall, str], None]
@@ -35,7 +35,7 @@
     def attach(self, call: Call, traceparent: str = "") -> RunningCall:
         """Return the running call, starting it if this host hasn't seen it."""
         with self._lock:
-            self._forget_ended()
+            self._evict_ended()
             running = self._calls.get(call.request_id)
             if running is not None:
                 return running
@@ -66,8 +66,8 @@
                 )
             )
 
-    def _forget_ended(self) -> None:
-        limit = time.monotonic() - KEEP_ENDED_SECONDS
+    def _evict_ended(self) -> None:
+        limit = time.monotonic() - ENDED_CALL_RETENTION_SECONDS
         self._calls = {
             request_id: call
             for request_id, call in self._calls.items()
--- a/packages/swifttide_daemon/src/swifttide_daemon/calls/_running_call.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/calls/_running_call.py
@@ -6,7 +6,7 @@
 
 from swifttide_daemon.calls._events import CallEvent, Failed, Finished, Waiting
 
-KEEPALIVE_SECONDS = 1.0
+KEEPALIVE_INTERVAL_SECONDS = 1.0
 """A reader hears something at least this often."""
 
 
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self._events: list[CallEvent] = []
         self._changed = threading.Condition()
-        self._readers = 0
+        self._n_readers = 0
         self.ended_at: float | None = None
 
     def append(self, event: CallEvent) -> None:
@@ -42,24 +42,24 @@
     def follow(self, start: int) -> Iterator[CallEvent]:
         """Yield events from number `start` on, up to the last one of the call."""
         with self._changed:
-            self._readers += 1
+            self._n_readers += 1
         try:
             yield from self._follow(start)
         finally:
             with self._changed:
-                self._readers -= 1
+                self._n_readers -= 1
 
     def has_readers(self) -> bool:
         """Return whether anybody follows the call."""
         with self._changed:
-            return self._readers > 0
+            return self._n_readers > 0
 
     def _follow(self, start: int) -> Iterator[CallEvent]:
         position = start
         while True:
             with self._changed:
                 if position >= len(self._events) and self.ended_at is None:
-                    self._changed.wait(KEEPALIVE_SECONDS)
+                    self._changed.wait(KEEPALIVE_INTERVAL_SECONDS)
                 fresh = self._events[position:]
                 ended = self.ended_at is not None
             position += len(fresh)
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_handlers.py
@@ -10,7 +10,7 @@
 from swifttide_daemon.configuration import ConfigService
 from swifttide_daemon.entry._authenticator import Authenticator
 from swifttide_daemon.entry._call_headers import ID_PATTERN
-from swifttide_daemon.programs import ProgramBook, platform_refusal
+from swifttide_daemon.programs import ProgramRegistry, platform_refusal
 from swifttide_daemon.store import Committed, Conflict, new_id
 from swifttide_daemon.targets import EngineClient
 from swifttide_daemon.web import Request, Response
@@ -22,7 +22,7 @@
     Parameters
     ----------
     authenticator : Authenticator
-    book : ProgramBook
+    book : ProgramRegistry
         Reads rows, and counts programs that end where they are held.
     config : ConfigService
     engines : EngineClient
@@ -32,7 +32,7 @@
     def __init__(
         self,
         authenticator: Authenticator,
-        book: ProgramBook,
+        book: ProgramRegistry,
         config: ConfigService,
         engines: EngineClient,
     ) -> None:
@@ -80,7 +80,7 @@
                 return Response.from_refusal(row.error)
         # Known here if this host holds the program; another holder counts it once the
         # program has been silent for long.
-        self.book.note_ended(customer, row.ok.root)
+        self.book.report_ended(customer, row.ok.root)
         self._release_caches(row.ok)
         return Response.from_json(_summary(row.ok))
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/programs/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/programs/__init__.py
@@ -1,16 +1,20 @@
 """Programs at their holder: rows, history and order."""
 
 from swifttide_daemon.programs._chunk import Chunk, Message
-from swifttide_daemon.programs._program_book import ProgramBook
+from swifttide_daemon.programs._program_registry import ProgramRegistry
 from swifttide_daemon.programs._program_store import ProgramStore, platform_refusal
-from swifttide_daemon.programs._program_tree import Ahead, ProgramEntry, ProgramTree
+from swifttide_daemon.programs._program_tree import (
+    AdvanceReservation,
+    ProgramEntry,
+    ProgramTree,
+)
 
 __all__ = [
-    "Ahead",
+    "AdvanceReservation",
     "Chunk",
     "Message",
-    "ProgramBook",
     "ProgramEntry",
+    "ProgramRegistry",
     "ProgramStore",
     "ProgramTree",
     "platform_refusal",
--- a/packages/swifttide_daemon/src/swifttide_daemon/programs/_program_book.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/programs/_program_registry.py
@@ -15,20 +15,20 @@
 from swifttide_daemon.programs._chunk import Chunk, Message
 from swifttide_daemon.programs._program_store import ProgramStore
 from swifttide_daemon.programs._program_tree import (
-    NOTHING_AHEAD,
-    Ahead,
+    NO_RESERVATION,
+    AdvanceReservation,
     ProgramEntry,
     ProgramTree,
 )
 
-MAX_HISTORY_BYTES = 64 * 1024 * 1024
+MAX_CACHED_HISTORY_BYTES = 64 * 1024 * 1024
 """Conversations kept in memory; the rest is read again from the platform's objects."""
 
-FORGET_SECONDS = 900.0
+TREE_RETENTION_SECONDS = 900.0
 """Silence after which a tree is dropped from memory; the platform has all of it."""
 
 
-class ProgramBook:
+class ProgramRegistry:
     """Trees of programs by their root.
 
     Parameters
@@ -68,7 +68,7 @@
                 tree.started_at = now
             return entry
 
-    def known_rows(
+    def cached_rows(
         self, call: Call, keys: tuple[str, ...]
     ) -> tuple[ProgramRow, ...] | None:
         """Return the rows of a turn if all of them are in memory."""
@@ -78,45 +78,50 @@
                 return None
             return tuple(tree.rows[key] for key in keys)
 
-    def learn(self, call: Call, rows: tuple[ProgramRow | None, ...]) -> None:
+    def cache_rows(self, call: Call, rows: tuple[ProgramRow | None, ...]) -> None:
         """Keep rows as read or written."""
         tree = self.tree(call)
         with tree.lock:
             tree.rows.update({row.key: row for row in rows if row is not None})
 
-    def forget_rows(self, call: Call) -> None:
+    def drop_cached_rows(self, call: Call) -> None:
         """Drop the rows of a tree: another host has written them."""
         tree = self.tree(call)
         with tree.lock:
             tree.rows.clear()
 
-    def take_ahead(self, call: Call) -> Ahead:
+    def take_advance_reservation(self, call: Call) -> AdvanceReservation:
         """Take what an earlier commit left reserved; nobody else gets it."""
         tree = self.tree(call)
         with tree.lock:
-            ahead, tree.ahead = tree.ahead, NOTHING_AHEAD
-            return ahead
-
-    def leave_ahead(self, call: Call, ahead: Ahead) -> None:
+            reservation, tree.advance_reservation = (
+                tree.advance_reservation,
+                NO_RESERVATION,
+            )
+            return reservation
+
+    def add_advance_reservation(
+        self, call: Call, reservation: AdvanceReservation
+    ) -> None:
         """Leave tokens reserved for the next turn of the tree.
 
         What was left under an earlier term is spent, so it is dropped.
         """
         tree = self.tree(call)
         with tree.lock:
-            if ahead.term > tree.ahead.term:
-                tree.ahead = ahead
-            elif ahead.term == tree.ahead.term:
-                tokens = tree.ahead.tokens + ahead.tokens
-                tree.ahead = Ahead(tokens, ahead.term)
+            if reservation.term > tree.advance_reservation.term:
+                tree.advance_reservation = reservation
+            elif reservation.term == tree.advance_reservation.term:
+                tokens = tree.advance_reservation.tokens + reservation.tokens
+                tree.advance_reservation = AdvanceReservation(tokens, reservation.term)
 
-    def count_unrecorded(self, call: Call, tokens: int) -> None:
+    def add_unrecorded_tokens(self, call: Call, tokens: int) -> None:
         """Count tokens of a turn that could not be recorded."""
         tree = self.tree(call)
         with tree.lock:
             tree.unrecorded_tokens += tokens
 
-    def take_unrecorded(self, call: Call) -> int:
+    def take_unrecorded_tokens(self, call: Call) -> int:
         """Take the count of unrecorded tokens, for a commit."""
         tree = self.tree(call)
         with tree.lock:
@@ -137,22 +142,24 @@
         with tree.lock:
             root = tree.rows.get(f"{call.customer}/{call.root}")
             known = root or ProgramRow(call.customer, call.root, call.root)
-            refusal = check_limits(known, profile, time.time(), tree.calls)
+            refusal = check_limits(
+                known, profile, time.time(), tree.n_uncommitted_calls
+            )
             if refusal is None:
-                tree.calls += 1
+                tree.n_uncommitted_calls += 1
             return refusal
 
-    def calls_since_commit(self, call: Call) -> int:
+    def uncommitted_calls(self, call: Call) -> int:
         """Return the calls of plain services that no commit has counted."""
         tree = self.tree(call)
         with tree.lock:
-            return tree.calls
+            return tree.n_uncommitted_calls
 
-    def forget_calls(self, call: Call, calls: int) -> None:
+    def subtract_committed_calls(self, call: Call, calls: int) -> None:
         """Take off calls that a commit has counted."""
         tree = self.tree(call)
         with tree.lock:
-            tree.calls -= calls
+            tree.n_uncommitted_calls -= calls
 
     def history(
         self, entry: ProgramEntry, chunks: tuple[str, ...]
@@ -164,15 +171,15 @@
             chunk = self.store.chunk(name)
             if chunk.is_error():
                 return chunk
-            self.remember(entry, name, chunk.ok)
+            self.cache_turn(entry, name, chunk.ok)
         return Ok(entry.messages)
 
-    def remember(self, entry: ProgramEntry, name: str, chunk: Chunk) -> None:
+    def cache_turn(self, entry: ProgramEntry, name: str, chunk: Chunk) -> None:
         """Add a committed turn to the conversation in memory."""
         entry.messages += chunk.conversation()
         entry.chunks += (name,)
 
-    def active_since(self, customer: str, root: str, program: str) -> float | None:
+    def last_active_at(self, customer: str, root: str, program: str) -> float | None:
         """Return when a program last ran here, now for one that runs, or None."""
         tree = self._trees.get(f"{customer}/{root}")
         entry = tree.programs.get(program) if tree else None
@@ -180,24 +187,24 @@
             return None
         return entry.active_at if entry.order.idle else time.monotonic()
 
-    def note_ended(self, customer: str, root: str) -> None:
+    def report_ended(self, customer: str, root: str) -> None:
         """Report the latency of a root program that its caller has ended."""
         tree = self._trees.get(f"{customer}/{root}")
         if tree is not None:
-            self._tell_latency(tree)
+            self._report_latency(tree)
 
-    def note_exported(
+    def record_cache_export(
         self, customer: str, root: str, program: str, cache: tuple[str, int]
     ) -> None:
         """Note where a paused program's cache was moved."""
         tree = self._trees.get(f"{customer}/{root}")
         entry = tree.programs.get(program) if tree else None
         if entry is not None:
-            entry.exported = cache
+            entry.exported_cache = cache
 
-    def trim(self) -> None:
+    def evict(self) -> None:
         """Drop trees that are silent, and histories beyond what may be kept."""
-        limit = time.monotonic() - FORGET_SECONDS
+        limit = time.monotonic() - TREE_RETENTION_SECONDS
         with self._lock:
             before = self._trees
             self._trees = {
@@ -208,18 +215,18 @@
             silent = [before[key] for key in before.keys() - self._trees.keys()]
             trees = sorted(self._trees.values(), key=lambda t: -t.active_at)
         for tree in silent:
-            self._tell_latency(tree)
+            self._report_latency(tree)
         kept = 0
         for tree in trees:
             for entry in tree.programs.values():
                 kept += sum(len(m.content) for m in entry.messages)
-                if kept > MAX_HISTORY_BYTES and entry.order.idle:
+                if kept > MAX_CACHED_HISTORY_BYTES and entry.order.idle:
                     entry.chunks, entry.messages = (), ()
 
-    def _tell_latency(self, tree: ProgramTree) -> None:
+    def _report_latency(self, tree: ProgramTree) -> None:
         with tree.lock:
-            told, tree.latency_told = tree.latency_told, True
-        if tree.started_at and not told:
+            was_reported, tree.is_latency_reported = tree.is_latency_reported, True
+        if tree.started_at and not was_reported:
             seconds = tree.active_at - tree.started_at
             longest = max((r.total_tokens for r in tree.rows.values()), default=0)
             self.estimates.observe_program(tree.profile, longest, seconds)
--- a/packages/swifttide_daemon/src/swifttide_daemon/programs/_program_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/programs/_program_store.py
@@ -5,7 +5,11 @@
 from swifttide_core.programs import ProgramRow
 from swifttide_core.verdicts import Reason, Refusal, Verdict
 from swifttide_daemon.programs._chunk import Chunk
-from swifttide_daemon.programs._rows import PROGRAMS, program_row_of, program_value
+from swifttide_daemon.programs._rows import (
+    PROGRAMS_TABLE,
+    program_row_of,
+    program_value,
+)
 from swifttide_daemon.store import (
     Check,
     Committed,
@@ -51,7 +55,7 @@
         """Read several rows, None where absent."""
         rows: list[ProgramRow | None] = []
         for key in keys:
-            found = self.platform.read(PROGRAMS, key)
+            found = self.platform.read(PROGRAMS_TABLE, key)
             if found.is_error():
                 return found
             rows.append(program_row_of(found.ok) if found.ok else None)
@@ -61,8 +65,10 @@
         self, rows: tuple[ProgramRow, ...], transaction: str
     ) -> Result[Committed | Conflict, PlatformError]:
         """Write rows if each still has its version."""
-        checks = tuple(Check(PROGRAMS, row.key, row.version) for row in rows)
-        writes = tuple(Write(PROGRAMS, row.key, program_value(row)) for row in rows)
+        checks = tuple(Check(PROGRAMS_TABLE, row.key, row.version) for row in rows)
+        writes = tuple(
+            Write(PROGRAMS_TABLE, row.key, program_value(row)) for row in rows
+        )
         return self.platform.commit_soon(Transaction(checks, writes, transaction))
 
     def chunk(self, name: str) -> Result[Chunk, Refusal]:
--- a/packages/swifttide_daemon/src/swifttide_daemon/programs/_program_tree.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/programs/_program_tree.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ahead:
+class AdvanceReservation:
     """Tokens that are reserved for a later turn.
 
     Parameters
@@ -23,7 +23,7 @@
     term: int
 
 
-NOTHING_AHEAD = Ahead(0, 0)
+NO_RESERVATION = AdvanceReservation(0, 0)
 
 
 @dataclass(slots=True)
@@ -40,7 +40,7 @@
         Conversation of these turns.
     active_at : float
         Monotonic seconds of the last call.
-    exported : tuple of (str, int) or None
+    exported_cache : tuple of (str, int) or None
         Object that holds its cache, and the cache's tokens.
     attained_cost : float
         Cost that it was served here, in the queue's units.
@@ -50,7 +50,7 @@
     chunks: tuple[str, ...] = ()
     messages: tuple[Message, ...] = ()
     active_at: float = 0.0
-    exported: tuple[str, int] | None = None
+    exported_cache: tuple[str, int] | None = None
     attained_cost: float = 0.0
 
 
@@ -64,17 +64,17 @@
         By program id.
     rows : dict of str to ProgramRow
         As last read or written here, by the key of the row.
-    ahead : Ahead
+    advance_reservation : AdvanceReservation
         What a commit left reserved and no turn has taken yet.
     unrecorded_tokens : int
         Used while the platform was away, to be settled with the next commit.
-    calls : int
+    n_uncommitted_calls : int
         Calls of plain services since the last commit.
     customer, profile : str
         Of the root's first call here.
     started_at : float
         Monotonic seconds of the first call here; 0 before it.
-    latency_told : bool
+    is_latency_reported : bool
         Whether the program's latency was reported.
     lock : Lock
         Guards the fields; not held during calls to the platform.
@@ -82,13 +82,13 @@
 
     programs: dict[str, ProgramEntry] = field(default_factory=dict)
     rows: dict[str, ProgramRow] = field(default_factory=dict)
-    ahead: Ahead = NOTHING_AHEAD
+    advance_reservation: AdvanceReservation = NO_RESERVATION
     unrecorded_tokens: int = 0
-    calls: int = 0
+    n_uncommitted_calls: int = 0
     customer: str = ""
     profile: str = ""
     started_at: float = 0.0
-    latency_told: bool = False
+    is_latency_reported: bool = False
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     @property
--- a/packages/swifttide_daemon/src/swifttide_daemon/programs/_rows.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/programs/_rows.py
@@ -8,7 +8,7 @@
 from swifttide_core.programs import ProgramRow
 from swifttide_daemon.store import Row
 
-PROGRAMS = "programs"
+PROGRAMS_TABLE = "programs"
 
 
 def program_row_of(row: Row) -> ProgramRow:
--- a/packages/swifttide_daemon/src/swifttide_daemon/retention/_cache_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/retention/_cache_keeper.py
@@ -29,7 +29,7 @@
 from swifttide_daemon.configuration import ConfigService
 from swifttide_daemon.membership import MembershipService
 from swifttide_daemon.peers import PeerClient
-from swifttide_daemon.programs import ProgramBook
+from swifttide_daemon.programs import ProgramRegistry
 from swifttide_daemon.retention._messages import (
     ExportedCache,
     Judgement,
@@ -54,7 +54,7 @@
     ----------
     membership : MembershipService
     config : ConfigService
-    book : ProgramBook
+    book : ProgramRegistry
     judge : ProgramJudge
         For programs whose slots are held here.
     engines : EngineClient
@@ -67,7 +67,7 @@
         self,
         membership: MembershipService,
         config: ConfigService,
-        book: ProgramBook,
+        book: ProgramRegistry,
         judge: ProgramJudge,
         engines: EngineClient,
         peers: PeerClient,
@@ -97,7 +97,7 @@
         """Keep in mind, as a program's holder, where its cache was moved."""
         customer, root, program = exported.program.split("/", 2)
         cache = (exported.name, exported.tokens)
-        self.book.note_exported(customer, root, program, cache)
+        self.book.record_cache_export(customer, root, program, cache)
 
     def _run(self) -> None:
         while not self._stop.wait(RECONCILE_SECONDS):
@@ -112,7 +112,7 @@
                     # One odd listing must not keep the memory of other engines.
                     log.exception("reconciling failed", extra={"target": target.name})
             self.judge.forget_old()
-            self.book.trim()
+            self.book.evict()
 
     def _reconcile(self, target: Target) -> None:
         listing = self.engines.cache(target)
--- a/packages/swifttide_daemon/src/swifttide_daemon/retention/_program_judge.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/retention/_program_judge.py
@@ -8,7 +8,7 @@
 from swifttide_core.programs import ProgramRow, ProgramState
 from swifttide_core.retention import PausedProgram
 from swifttide_daemon.configuration import ConfigService
-from swifttide_daemon.programs import ProgramBook
+from swifttide_daemon.programs import ProgramRegistry
 from swifttide_daemon.retention._messages import Judgement
 
 DEFAULT_PROFILE = Profile("")
@@ -40,10 +40,10 @@
     Parameters
     ----------
     config : ConfigService
-    book : ProgramBook
+    book : ProgramRegistry
     """
 
-    def __init__(self, config: ConfigService, book: ProgramBook) -> None:
+    def __init__(self, config: ConfigService, book: ProgramRegistry) -> None:
         self.config = config
         self.book = book
         self._seen: dict[str, _Seen] = {}
@@ -64,7 +64,7 @@
 
     def _judge(self, name: str, now: float) -> Judgement | None:
         customer, root, program = name.split("/", 2)
-        active = self.book.active_since(customer, root, program)
+        active = self.book.last_active_at(customer, root, program)
         pause = LOOK_SECONDS if active is None else OWN_LOOK_SECONDS
         seen = self._look(name, customer, program, now, pause)
         if seen is None:
@@ -74,7 +74,7 @@
         version = row.version if row else 0
         if row is not None and row.state is ProgramState.ENDED:
             if program == root:
-                self.book.note_ended(customer, root)
+                self.book.report_ended(customer, root)
             return Judgement(name, version, gone=True)
         profile = self._profile(row)
         if now - last >= profile.idle_seconds:
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_chat_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_chat_runner.py
@@ -10,7 +10,7 @@
 from swifttide_core.verdicts import Reason, Refusal
 from swifttide_daemon.calls import Failed, Finished, RunningCall
 from swifttide_daemon.membership import MembershipService
-from swifttide_daemon.programs import ProgramBook, ProgramEntry, platform_refusal
+from swifttide_daemon.programs import ProgramEntry, ProgramRegistry, platform_refusal
 from swifttide_daemon.recording import Recorder
 from swifttide_daemon.runners._chat_body import ChatBody
 from swifttide_daemon.runners._generator import Generator
@@ -27,7 +27,7 @@
     Parameters
     ----------
     membership : MembershipService
-    book : ProgramBook
+    book : ProgramRegistry
     generator : Generator
     platform_available : callable
         Returns whether the platform answered the last call to it.
@@ -37,7 +37,7 @@
     def __init__(
         self,
         membership: MembershipService,
-        book: ProgramBook,
+        book: ProgramRegistry,
         generator: Generator,
         platform_available: Callable[[], bool],
         recorder: Recorder,
@@ -130,7 +130,7 @@
         outcome = self._run_bare(permit, body, running, traceparent)
         if isinstance(outcome, Finished):
             used = outcome.completion_tokens + body.content_bytes
-            self.book.count_unrecorded(call, used)
+            self.book.add_unrecorded_tokens(call, used)
         return outcome
 
     def _within_budget(self, permit: Permit, tokens: int) -> bool:
@@ -150,7 +150,7 @@
         slot = self.membership.slot(SlotKind.PROGRAM, call.placement_key)
         caller_keeps = permit.profile.history is HistoryMode.CALLER
         fresh = body.messages[-1:] if caller_keeps else body.messages
-        ahead = self.book.take_ahead(call)
+        ahead = self.book.take_advance_reservation(call)
         return Turn(
             attempt=new_id(),
             holder=f"{zone}/{slot}/{epoch}",
@@ -163,7 +163,7 @@
             profile=permit.profile,
             tokens=max_tokens + sum(len(m.content.encode()) for m in fresh),
             now=time.time(),
-            calls=self.book.calls_since_commit(call),
+            calls=self.book.uncommitted_calls(call),
             ahead=ahead.tokens,
             ahead_term=ahead.term,
         )
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_runner.py
@@ -6,7 +6,7 @@
 from swifttide_core.retries import Retry
 from swifttide_core.verdicts import Verdict
 from swifttide_daemon.calls import Call, Failed, Finished, RunningCall
-from swifttide_daemon.programs import ProgramBook
+from swifttide_daemon.programs import ProgramRegistry
 from swifttide_daemon.recording import Recorder
 from swifttide_daemon.runners._chat_runner import earlier_call_runs
 from swifttide_daemon.runners._journaled_call import JournaledCall
@@ -31,7 +31,7 @@
 
     Parameters
     ----------
-    book : ProgramBook
+    book : ProgramRegistry
         Orders the calls of a program.
     sender : ServiceSender
     retries : RetryAccount
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        book: ProgramBook,
+        book: ProgramRegistry,
         sender: ServiceSender,
         retries: RetryAccount,
         platform: PlatformClient,
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
@@ -31,11 +31,11 @@
 from swifttide_core.verdicts import Refusal, Verdict
 from swifttide_daemon.calls import Failed, Finished, RunningCall
 from swifttide_daemon.programs import (
-    Ahead,
+    AdvanceReservation,
     Chunk,
     Message,
-    ProgramBook,
     ProgramEntry,
+    ProgramRegistry,
     platform_refusal,
 )
 from swifttide_daemon.recording import Recorder
@@ -55,7 +55,7 @@
 
     Parameters
     ----------
-    book : ProgramBook
+    book : ProgramRegistry
     generator : Generator
     permit : Permit
     body : ChatBody
@@ -71,7 +71,7 @@
 
     def __init__(
         self,
-        book: ProgramBook,
+        book: ProgramRegistry,
         generator: Generator,
         permit: Permit,
         body: ChatBody,
@@ -99,7 +99,7 @@
 
     def run(self) -> Finished | Failed:
         """Take the turn to its end."""
-        known = self.book.known_rows(self.permit.call, self.turn.row_keys)
+        known = self.book.cached_rows(self.permit.call, self.turn.row_keys)
         step = start_turn(self.turn, known)
         run = self.recorder.start(TURN, (self.turn, known), step.actions)
         state = step.state
@@ -134,7 +134,7 @@
         rows = self.book.store.read_rows(keys)
         if rows.is_error():
             return self._store_failed()
-        self.book.learn(self.permit.call, rows.ok)
+        self.book.cache_rows(self.permit.call, rows.ok)
         return RowsRead(rows.ok)
 
     def _write(self, action: WriteRows) -> TurnEvent:
@@ -145,13 +145,13 @@
         outcome = self.book.store.write_rows(action.rows, action.transaction)
         if outcome.is_error():
             # Whether it took effect is unknown; rows in memory may be old.
-            self.book.forget_rows(self.permit.call)
+            self.book.drop_cached_rows(self.permit.call)
             return self._store_failed()
         if not isinstance(outcome.ok, Committed):
-            self.book.forget_rows(self.permit.call)
+            self.book.drop_cached_rows(self.permit.call)
             return RowsConflict()
         versions = outcome.ok.versions
-        self.book.learn(self.permit.call, _with_versions(action.rows, versions))
+        self.book.cache_rows(self.permit.call, _with_versions(action.rows, versions))
         return RowsWritten(versions)
 
     def _store_failed(self) -> TurnEvent:
@@ -176,7 +176,7 @@
                 return ModelUnreached(generated.error)
             return ModelFailed()
         self.made = generated.ok
-        unrecorded = self.book.take_unrecorded(self.permit.call)
+        unrecorded = self.book.take_unrecorded_tokens(self.permit.call)
         fresh = max(0, self.made.total_tokens - prompt.former_tokens)
         return ModelAnswered(fresh + unrecorded, self.made.target)
 
@@ -187,9 +187,9 @@
             if history.is_error():
                 return history.error
             messages = (*history.ok, *messages)
-        rows = self.book.known_rows(self.permit.call, self.turn.row_keys[:1])
+        rows = self.book.cached_rows(self.permit.call, self.turn.row_keys[:1])
         row = rows[0] if rows else self.turn.new_program
-        exported, self.entry.exported = self.entry.exported, None
+        exported, self.entry.exported_cache = self.entry.exported_cache, None
         return Prompt(
             messages=messages,
             max_tokens=self.max_tokens,
@@ -225,15 +225,15 @@
         if action.chunk != self.turn.chunk_name(action.number):
             return self._replay(action)
         self.entry.attained_cost += self.made.cost
-        self.book.forget_calls(self.permit.call, self.turn.calls)
-        ahead = Ahead(action.ahead, action.term)
-        self.book.leave_ahead(self.permit.call, ahead)
-        self.book.remember(self.entry, action.chunk, self.chunk)
+        self.book.subtract_committed_calls(self.permit.call, self.turn.calls)
+        ahead = AdvanceReservation(action.ahead, action.term)
+        self.book.add_advance_reservation(self.permit.call, ahead)
+        self.book.cache_turn(self.entry, action.chunk, self.chunk)
         return finished(action.number, self.made)
 
     def _replay(self, action: ReplyTurn) -> Finished | Failed:
-        ahead = Ahead(self.turn.ahead, self.turn.ahead_term)
-        self.book.leave_ahead(self.permit.call, ahead)
+        ahead = AdvanceReservation(self.turn.ahead, self.turn.ahead_term)
+        self.book.add_advance_reservation(self.permit.call, ahead)
         chunk = self.book.store.chunk(action.chunk)
         if chunk.is_error():
             return Failed(chunk.error.with_verdict(Verdict.RAN))
@@ -249,8 +249,8 @@
     def _refuse(self, refusal: Refusal) -> Failed:
         if refusal.verdict is Verdict.NOT_RUN:
             # Nothing used the reservation of an earlier commit.
-            ahead = Ahead(self.turn.ahead, self.turn.ahead_term)
-            self.book.leave_ahead(self.permit.call, ahead)
+            ahead = AdvanceReservation(self.turn.ahead, self.turn.ahead_term)
+            self.book.add_advance_reservation(self.permit.call, ahead)
         if self.refusal is not None and self.refusal.verdict is refusal.verdict:
             return Failed(self.refusal)
         return Failed(refusal)
--- a/tests/fuzz/test_turns_fuzz.py
+++ b/tests/fuzz/test_turns_fuzz.py
@@ -30,7 +30,7 @@
     step_turn,
 )
 from swifttide_core.verdicts import Reason, Refusal, Verdict
-from swifttide_daemon.programs import Ahead, ProgramBook
+from swifttide_daemon.programs import AdvanceReservation, ProgramRegistry
 from tests.fuzz._platform import (
     ConflictError,
     FakePlatform,
@@ -62,7 +62,7 @@
     name: str
     program: str
     host: str
-    book: ProgramBook
+    book: ProgramRegistry
     turn: Turn
     body: str
     step: object
@@ -104,7 +104,7 @@
         book = (
             self.memory[host][1]
             if host in self.memory
-            else ProgramBook(None, lambda *_: None)
+            else ProgramRegistry(None, lambda *_: None)
         )
         self.memory[host] = (f"{key}/{epoch + 1}", book)
 
@@ -120,7 +120,7 @@
         if any(a.host == host and a.program == program for a in self.attempts):
             return
         holder, book = self.memory[host]
-        ahead = book.take_ahead(TREE)
+        ahead = book.take_advance_reservation(TREE)
         self.n_attempts += 1
         name = f"t{self.n_attempts}"
         row = ProgramRow("khuslen", program, ROOT)
@@ -136,7 +136,7 @@
             ahead=ahead.tokens,
             ahead_term=ahead.term,
         )
-        known = book.known_rows(TREE, turn.row_keys)
+        known = book.cached_rows(TREE, turn.row_keys)
         attempt = Attempt(
             name, program, host, book, turn, body, start_turn(turn, known)
         )
@@ -202,7 +202,7 @@
         except NoAnswerError:
             return StoreFailed()
         rows = tuple(row and replace(row, version=v) for v, row in found)
-        attempt.book.learn(TREE, rows)
+        attempt.book.cache_rows(TREE, rows)
         return RowsRead(rows)
 
     def write(self, attempt, rows, transaction, weather):
@@ -211,13 +211,13 @@
         try:
             versions = self.platform.transact(transaction, writes, (), weather)
         except NoAnswerError:
-            attempt.book.forget_rows(TREE)
+            attempt.book.drop_cached_rows(TREE)
             return StoreFailed()
         except ConflictError:
-            attempt.book.forget_rows(TREE)
+            attempt.book.drop_cached_rows(TREE)
             return RowsConflict()
         written = zip(rows, versions, strict=True)
-        attempt.book.learn(TREE, tuple(replace(r, version=v) for r, v in written))
+        attempt.book.cache_rows(TREE, tuple(replace(r, version=v) for r, v in written))
         return RowsWritten(tuple(versions))
 
     def run_model(self, attempt, outcome, used):
@@ -244,7 +244,9 @@
         assert self.acknowledged.setdefault(place, reply.chunk) == reply.chunk
         attempt.replies += 1
         if reply.chunk == attempt.turn.chunk_name(reply.number):
-            attempt.book.leave_ahead(TREE, Ahead(reply.ahead, reply.term))
+            attempt.book.add_advance_reservation(
+                TREE, AdvanceReservation(reply.ahead, reply.term)
+            )
         else:
             self.leave_ahead(attempt, attempt.turn.ahead)
 
@@ -257,7 +259,9 @@
         return self.platform.objects[chunk] == (attempt.program, attempt.body)
 
     def leave_ahead(self, attempt, tokens):
-        attempt.book.leave_ahead(TREE, Ahead(tokens, attempt.turn.ahead_term))
+        attempt.book.add_advance_reservation(
+            TREE, AdvanceReservation(tokens, attempt.turn.ahead_term)
+        )
 
     def tell(self, attempt, event):
         attempt.step = step_turn(attempt.step.state, event)
