--- a/packages/swifttide_core/src/swifttide_core/configuration/_config_state.py
+++ b/packages/swifttide_core/src/swifttide_core/configuration/_config_state.py
@@ -59,7 +59,7 @@
             if change.version != self.version + 1:
                 break
             self.version = change.version
-            if self._store(change):
+            if self._apply_if_newer(change):
                 news.append(change)
         return news
 
@@ -74,7 +74,7 @@
         if version < self.version:
             return
         for change in changes:
-            self._store(change)
+            self._apply_if_newer(change)
         self.version = version
 
     def get(self, kind: DocumentKind, name: str) -> Document | None:
@@ -85,11 +85,11 @@
         """Return the documents of a kind, by name."""
         return [doc for _, doc in sorted(self._documents[kind].items())]
 
-    def newest(self, kind: DocumentKind, name: str) -> Change | None:
+    def latest_change(self, kind: DocumentKind, name: str) -> Change | None:
         """Return the newest change of a document, removals included."""
         return self._changes.get((kind, name))
 
-    def newest_after(self, version: int) -> list[Change]:
+    def latest_changes_after(self, version: int) -> list[Change]:
         """Return the newest change of each document that is later than `version`.
 
         With the known version they bring any host of an older one up to date, however
@@ -101,7 +101,7 @@
             key=lambda change: change.version,
         )
 
-    def newest_of(self, kind: DocumentKind) -> list[Change]:
+    def latest_changes_of_kind(self, kind: DocumentKind) -> list[Change]:
         """Return the newest change of each document of a kind that exists."""
         return [
             change
@@ -109,7 +109,7 @@
             if of_kind is kind and change.document is not None
         ]
 
-    def _store(self, change: Change) -> bool:
+    def _apply_if_newer(self, change: Change) -> bool:
         """Keep a change unless the document is already as new."""
         place = (change.kind, change.name)
         known = self._changes.get(place)
--- a/packages/swifttide_core/src/swifttide_core/configuration/tests/test_config_state.py
+++ b/packages/swifttide_core/src/swifttide_core/configuration/tests/test_config_state.py
@@ -12,7 +12,7 @@
 
 
 class TestConfigState:
-    def test_older_state_does_not_revive_a_key(self):
+    def test_older_state_does_not_restore_a_withdrawn_key(self):
         """The store answers from a copy that lags, after a key was withdrawn. A host
         that believes it would serve a caller whose key was taken away.
         """
@@ -23,7 +23,7 @@
         assert state.version == 2
         assert state.get(DocumentKind.KEY, KEY).withdrawn
 
-    def test_gap_is_not_jumped(self):
+    def test_changes_after_a_gap_are_not_applied(self):
         """A peer's answer is cut, so a change in the middle is missing. Counting it as
         known would leave the host without that edit for good.
         """
@@ -42,7 +42,7 @@
         state = ConfigState()
         state.apply([key_change(1, False), Change(2, DocumentKind.KEY, KEY, None)])
         assert state.get(DocumentKind.KEY, KEY) is None
-        assert state.newest(DocumentKind.KEY, KEY).version == 2
+        assert state.latest_change(DocumentKind.KEY, KEY).version == 2
 
     def test_host_far_behind_catches_up_from_a_peer(self):
         """A zone loses the platform for days and reaches one host elsewhere. What that
@@ -51,6 +51,6 @@
         ahead, behind = ConfigState(), ConfigState()
         behind.apply([key_change(1, False)])
         ahead.load(9, [key_change(9, True)])
-        behind.load(ahead.version, ahead.newest_after(behind.version))
+        behind.load(ahead.version, ahead.latest_changes_after(behind.version))
         assert behind.version == 9
         assert behind.get(DocumentKind.KEY, KEY).withdrawn
--- a/packages/swifttide_core/src/swifttide_core/documents/_check_document.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/_check_document.py
@@ -26,20 +26,20 @@
 
 Document = Profile | Customer | KeyGrant | Target
 
-DAY_SECONDS = 86_400.0
+MAX_PROFILE_DURATION_SECONDS = 86_400.0
 """Longest span of time in a profile; a longer one is a slip of the unit."""
 
 MAX_BUDGET_TOKENS = 1_000_000_000
 MAX_TURNS = 100_000
 MAX_CALLS = 1_000_000
-MAX_PROGRAM_SECONDS = 30 * DAY_SECONDS
+MAX_PROGRAM_SECONDS = 30 * MAX_PROFILE_DURATION_SECONDS
 MAX_RATE_PER_SECOND = 1_000_000.0
 MAX_WEIGHT = 1000.0
 MIN_WEIGHT = 0.001
 MAX_URGENCY = 100
 MAX_CONCURRENCY = 100_000
 
-_CLASSES: dict[DocumentKind, type] = {
+_CLASS_BY_KIND: dict[DocumentKind, type] = {
     DocumentKind.PROFILE: Profile,
     DocumentKind.CUSTOMER: Customer,
     DocumentKind.KEY: KeyGrant,
@@ -64,10 +64,10 @@
     Result
         The document, or every error with its path, got and expected value.
     """
-    if kind not in _CLASSES:
+    if kind not in _CLASS_BY_KIND:
         expected = "one of " + ", ".join(DocumentKind)
         return Error((FieldError("kind", show(str(kind)), expected),))
-    decoded = decode_fields(_CLASSES[DocumentKind(kind)], raw)
+    decoded = decode_fields(_CLASS_BY_KIND[DocumentKind(kind)], raw)
     return decoded.bind(_check_ranges)
 
 
@@ -88,7 +88,7 @@
         case Customer():
             errors = _check_customer(document)
         case KeyGrant():
-            errors = _check_key(document)
+            errors = _check_key_grant(document)
         case Target():
             errors = _check_target(document)
     return Error(errors) if errors else Ok(document)
@@ -106,7 +106,7 @@
         *check_each("customers", doc.customers, check_name),
         *check_name("model", doc.model),
         *check_each("services", doc.services, check_name),
-        *check_each("never_repeat", doc.never_repeat, _check_prefix),
+        *check_each("never_repeat", doc.never_repeat, _check_call_prefix),
         *check_between("budget_tokens", doc.budget_tokens, 1, MAX_BUDGET_TOKENS),
         *check_between("max_turns", doc.max_turns, 1, MAX_TURNS),
         *check_between("max_calls", doc.max_calls, 1, MAX_CALLS),
@@ -119,12 +119,12 @@
     ]
     for name, value in seconds:
         errors += check_between(
-            name, value, 0.0 if "pause" in name else 0.1, DAY_SECONDS
+            name, value, 0.0 if "pause" in name else 0.1, MAX_PROFILE_DURATION_SECONDS
         )
     return tuple(errors)
 
 
-def _check_prefix(path: str, value: str) -> tuple[FieldError, ...]:
+def _check_call_prefix(path: str, value: str) -> tuple[FieldError, ...]:
     """Check a ``service/path`` prefix.
 
     A prefix that no call can match would leave a charge repeatable without a word.
@@ -144,7 +144,7 @@
     )
 
 
-def _check_key(doc: KeyGrant) -> tuple[FieldError, ...]:
+def _check_key_grant(doc: KeyGrant) -> tuple[FieldError, ...]:
     errors = check_key_hash("key_hash", doc.key_hash)
     if doc.operator and doc.customer:
         got = show(doc.customer)
--- a/packages/swifttide_core/src/swifttide_core/documents/tests/test_check_document.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/tests/test_check_document.py
@@ -11,19 +11,19 @@
 KEY_HASH = "0" * 64
 
 
-def paths(kind, raw):
+def error_paths(kind, raw):
     return {e.path for e in check_document(kind, raw).error}
 
 
 class TestCheckDocument:
     @pytest.mark.parametrize("path", sorted(EXAMPLES.iterdir()), ids=lambda p: p.name)
-    def test_examples(self, path):
+    def test_example_documents_are_valid(self, path):
         kind, _, name = path.stem.partition("-")
         raw = load_json_with_comments(path.read_text()).ok
         document = check_document(kind, raw).ok
         assert document_name(kind, document) == name
 
-    def test_every_error_of_a_profile_at_once(self):
+    def test_all_errors_of_a_profile_are_reported(self):
         raw = {
             "name": "night shift",
             "customers": ["a", "a", "b/c"],
@@ -33,7 +33,7 @@
             "weight": 0,
             "deadline_seconds": 1e9,
         }
-        assert paths("profile", raw) == {
+        assert error_paths("profile", raw) == {
             "name",
             "customers[1]",
             "customers[2]",
@@ -46,14 +46,14 @@
 
     def test_wrong_types_and_unknown_members(self):
         raw = {"name": 3, "weight": "1", "history": "eternal", "deadline": 3}
-        assert paths("profile", raw) == {"name", "weight", "history", "deadline"}
+        assert error_paths("profile", raw) == {"name", "weight", "history", "deadline"}
 
-    def test_key_for_customer_and_operator_at_once(self):
+    def test_key_grant_needs_either_customer_or_operator(self):
         raw = {"key_hash": KEY_HASH, "operator": True, "customer": "c"}
-        assert paths("key", raw) == {"customer"}
-        assert paths("key", {"key_hash": KEY_HASH}) == {"customer"}
+        assert error_paths("key", raw) == {"customer"}
+        assert error_paths("key", {"key_hash": KEY_HASH}) == {"customer"}
 
-    def test_key_itself_is_not_repeated(self):
+    def test_errors_do_not_contain_the_key(self):
         """A key is put where its hash belongs, and the refusal is logged."""
         for bad in ("sk-secret", ["sk-secret"]):
             errors = check_document("key", {"key_hash": bad, "customer": "c"}).error
@@ -70,7 +70,7 @@
             "",
         ],
     )
-    def test_target_url(self, url):
+    def test_invalid_target_url_is_refused(self, url):
         raw = {
             "name": "t",
             "kind": "engine",
@@ -78,12 +78,12 @@
             "url": url,
             "serves": "m",
         }
-        assert paths("target", raw) == {"url"}
+        assert error_paths("target", raw) == {"url"}
         assert "pw" not in str(check_document("target", raw).error)
 
     def test_customer_with_nan_rate(self):
         raw = {"name": "c", "rate_per_second": float("nan"), "burst": 0}
-        assert paths("customer", raw) == {"rate_per_second", "burst"}
+        assert error_paths("customer", raw) == {"rate_per_second", "burst"}
 
     def test_unknown_kind(self):
-        assert paths("planet", {}) == {"kind"}
+        assert error_paths("planet", {}) == {"kind"}
--- a/packages/swifttide_core/src/swifttide_core/slots/tests/test_slot_map.py
+++ b/packages/swifttide_core/src/swifttide_core/slots/tests/test_slot_map.py
@@ -23,7 +23,7 @@
 
 
 class TestSlotOf:
-    def test_spreads_keys(self):
+    def test_keys_are_spread_over_all_slots(self):
         counts = Counter(
             slot_of(SlotKind.PROGRAM, f"p{i}", N_SLOTS) for i in range(6400)
         )
@@ -32,7 +32,7 @@
 
 
 class TestRankedZones:
-    def test_home_zones_spread_and_stay(self):
+    def test_home_zones_are_balanced_and_stable(self):
         """A zone is lost. Only the programs at home there may move; the others would
         lose their engines' caches for nothing.
         """
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/_service.py
@@ -109,7 +109,7 @@
     def changes_after(self, version: int) -> list[Change]:
         """Return what a host of an older version misses."""
         with self._lock:
-            return self.state.newest_after(version)
+            return self.state.latest_changes_after(version)
 
     def learn_from_peer(self, version: int, changes: list[Change]) -> None:
         """Take in what a peer of a later version has."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/operators/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/operators/_handlers.py
@@ -54,7 +54,7 @@
         checked = self._check(req, kind)
         if checked.is_error():
             return Response.from_refusal(checked.error)
-        changes = self.config.state.newest_of(checked.ok[1])
+        changes = self.config.state.latest_changes_of_kind(checked.ok[1])
         return Response.from_json(
             {
                 "documents": [_shown(change) for change in changes],
@@ -67,7 +67,7 @@
         checked = self._check(req, kind)
         if checked.is_error():
             return Response.from_refusal(checked.error)
-        change = self.config.state.newest(checked.ok[1], name)
+        change = self.config.state.latest_change(checked.ok[1], name)
         if change is None or change.document is None:
             return Response.from_refusal(
                 Refusal(Reason.NOT_FOUND, f"no {kind} {name!r} in force here")
--- a/tests/fuzz/test_configuration_fuzz.py
+++ b/tests/fuzz/test_configuration_fuzz.py
@@ -58,7 +58,7 @@
         for host, state in enumerate(self.hosts):
             self.only_forward((host, "all"), state.version)
             for key in KEYS:
-                newest = state.newest(DocumentKind.KEY, key)
+                newest = state.latest_change(DocumentKind.KEY, key)
                 if newest is not None:
                     self.only_forward((host, key), newest.version)
                     grant = state.get(DocumentKind.KEY, key)
@@ -75,7 +75,7 @@
             for key in KEYS:
                 known = [c for c in self.log[: state.version] if c.name == key]
                 if known:
-                    newest = state.newest(DocumentKind.KEY, key)
+                    newest = state.latest_change(DocumentKind.KEY, key)
                     assert newest is not None
                     assert newest.version >= known[-1].version
 
