--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/__init__.py
@@ -1,4 +1,8 @@
-"""Requests of callers, from the socket to the holder of their program."""
+"""Handling of callers' requests at the entry host.
+
+The entry host authenticates and checks a request, then forwards it to the host that
+holds the slot of its program and passes the events of the call back to the caller.
+"""
 
 from swifttide_daemon.entry._authenticator import Authenticator, Identity
 from swifttide_daemon.entry._dispatcher import CALLS_PATH, Dispatcher
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_authenticator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_authenticator.py
@@ -1,4 +1,8 @@
-"""Who a request comes from."""
+"""Authentication of requests by the key in their ``Authorization`` header.
+
+The hash of the key is compared with the key grants of the configuration and with the
+operator key hashes of the settings.
+"""
 
 import hmac
 from dataclasses import dataclass
@@ -16,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """The holder of a key.
+    """Owner of the key that a request carries.
 
     Parameters
     ----------
     key_hash : str
         SHA-256 of the key; the key itself is not kept.
     customer : str
-        Empty for an operator.
+        Customer to whom the key was granted; empty for an operator.
     """
 
     key_hash: str
@@ -31,13 +35,14 @@
 
 
 class Authenticator:
-    """Checks the key that a request carries.
+    """Finds the customer or operator to whom the key of a request was granted.
 
     Parameters
     ----------
     config : ConfigService
     operator_hashes : tuple of str
-        Hashes from the settings, that hold before any operator's key is granted.
+        Hashes of operator keys from the settings. They are valid independently of the
+        configuration, so that the first operator key can be granted.
     """
 
     def __init__(self, config: ConfigService, operator_hashes: tuple[str, ...]) -> None:
@@ -45,14 +50,18 @@
         self.operator_hashes = operator_hashes
 
     def refuse_unknown_key(self, req: Request) -> Refusal | None:
-        """Return the refusal of a request whose key nobody was granted, or None."""
+        """Return the refusal of a request without a granted key, or None."""
         found = self.customer(req)
         return (
             found.error if found.is_error() and self.operator(req).is_error() else None
         )
 
     def customer(self, req: Request) -> Result[Identity, Refusal]:
-        """Return the customer of a request's key."""
+        """Return the customer of a request's key.
+
+        Customer keys are refused while the configuration of this host is stale, as a
+        key may have been withdrawn elsewhere in the meantime.
+        """
         key_hash = _key_hash(req)
         grant = self.config.key(key_hash) if key_hash else None
         if grant is None or not grant.customer:
@@ -62,7 +71,7 @@
         return Ok(Identity(key_hash, grant.customer))
 
     def operator(self, req: Request) -> Result[Identity, Refusal]:
-        """Return the operator of a request's key."""
+        """Return the identity of the operator whose key the request carries."""
         key_hash = _key_hash(req)
         if not key_hash:
             return Error(_unknown_key_refusal())
@@ -72,15 +81,15 @@
         if grant is None:
             return Error(_unknown_key_refusal())
         if not grant.operator:
-            return Error(Refusal(Reason.FORBIDDEN, "the key is not an operator's"))
+            return Error(Refusal(Reason.FORBIDDEN, "the key is not an operator key"))
         return Ok(Identity(key_hash, ""))
 
 
 def _key_hash(req: Request) -> str:
     """Return the hash of the request's key, or an empty string.
 
-    Looking the hash up takes a time that depends on the hash alone, which tells an
-    attacker nothing about keys.
+    The duration of a lookup by hash depends on the hash alone, so it reveals nothing
+    about the keys to an attacker.
     """
     value = req.header("authorization")
     if not value.startswith(BEARER) or len(value) <= len(BEARER):
@@ -98,6 +107,6 @@
 def _stale_configuration_refusal() -> Refusal:
     return Refusal(
         Reason.PLATFORM_UNAVAILABLE,
-        "this host has been cut off for too long to tell which keys still stand",
+        "the configuration of this host is too old to tell which keys are still valid",
         retry_after_seconds=STALE_RETRY_SECONDS,
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_call_headers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_call_headers.py
@@ -1,4 +1,8 @@
-"""The headers by which a caller places its call."""
+"""Decoding and validation of the request headers that describe a call.
+
+The headers name the profile, the program with its parent, the turn number and the
+idempotency key.
+"""
 
 import re
 from dataclasses import dataclass
@@ -10,18 +14,20 @@
 
 ID_PATTERN = re.compile(r"[A-Za-z0-9._:-]{1,128}\Z")
 TURN_PATTERN = re.compile(r"[1-9][0-9]{0,5}\Z")
-"""A longer one is refused, not cut: it would run as another turn than was asked for."""
+"""Numbers with more than six digits are refused rather than truncated: a truncated
+number would run another turn than the requested one."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallHeaders:
-    """Decoded and checked headers.
+    """Decoded and validated headers of a call.
 
     Parameters
     ----------
     profile, program, parent, idempotency_key : str
-        Empty where the header is missing.
+        Empty if the header is missing.
     turn : int or None
+        Turn number given by the caller; None if the header is missing.
     """
 
     profile: str
@@ -32,7 +38,7 @@
 
     @classmethod
     def from_request(cls, req: Request) -> Result["CallHeaders", Refusal]:
-        """Read the headers of a call, or say what is wrong with them."""
+        """Decode the headers of a call, or return a refusal if one is invalid."""
         values = {}
         for field, header in (
             ("profile", "swifttide-profile"),
@@ -44,7 +50,8 @@
             if value and not ID_PATTERN.match(value):
                 return Error(
                     _invalid_header(
-                        header, "letters, digits and '._:-', at most 128 of them"
+                        header,
+                        "at most 128 characters out of letters, digits and '._:-'",
                     )
                 )
             values[field] = value
@@ -52,7 +59,9 @@
             return Error(_invalid_header("swifttide-profile", "the name of a profile"))
         if values["parent"] and not values["program"]:
             return Error(
-                _invalid_header("swifttide-program", "an id beside swifttide-parent")
+                _invalid_header(
+                    "swifttide-program", "a program id together with swifttide-parent"
+                )
             )
         turn = req.header("swifttide-turn")
         if turn and not TURN_PATTERN.match(turn):
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_chat_answer.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_chat_answer.py
@@ -1,4 +1,8 @@
-"""A chat turn's events as the caller wants them."""
+"""Conversion of the events of a chat turn into an HTTP response.
+
+The response is one JSON body or a stream of server-sent events, in the format of the
+chat completions API.
+"""
 
 from collections.abc import Iterator
 from itertools import chain
@@ -23,7 +27,7 @@
 
 
 def completion_response(call: Call, events: Iterator[CallEvent]) -> Response:
-    """Return the answer of a turn as one JSON body."""
+    """Return the answer of a turn as one JSON body, once the turn has ended."""
     for event in events:
         match event:
             case Finished():
@@ -43,8 +47,8 @@
 def streaming_response(call: Call, events: Iterator[CallEvent]) -> Response:
     """Return the answer of a turn as server-sent events.
 
-    The status line waits for the first piece of text, so that a refusal is still a
-    refusal with its own status.
+    The status line is sent with the first piece of text. A refusal before that point
+    is therefore returned with its own HTTP status.
     """
     for event in events:
         match event:
@@ -58,7 +62,7 @@
 
 
 def _event_stream(call: Call, events: Iterator[CallEvent]) -> Iterator[bytes]:
-    """Yield server-sent events; an answer that lacks ``[DONE]`` isn't whole."""
+    """Yield server-sent events; an answer without a final ``[DONE]`` is incomplete."""
     text = _StreamedText()
     for event in events:
         match event:
@@ -90,10 +94,11 @@
 
 
 class _StreamedText:
-    """What the caller has of the text, when a turn has to be run again.
+    """Text that was streamed to the caller, compared with a repeated generation.
 
-    Another engine may word its answer differently. Stitching the two together would
-    hand the caller a text that nobody generated and no history holds.
+    When a turn is run again, another engine may generate a different text. Appending
+    the rest of that text to what the caller has received would give a text that no
+    engine generated and that the history doesn't contain.
     """
 
     def __init__(self) -> None:
@@ -101,16 +106,22 @@
         self._generated = ""
 
     def restart_generation(self) -> None:
-        """Void what was generated; what was sent stays sent."""
+        """Discard the generated text; the record of the sent text is kept."""
         self._generated = ""
 
     def add(self, piece: str) -> str | None:
-        """Return what of a piece is new to the caller; None when it contradicts."""
+        """Add a generated piece and return the text that is not sent yet.
+
+        Returns None if the generated text differs from the text that was sent.
+        """
         self._generated += piece
         return self._take_unsent()
 
     def complete(self, whole: str) -> str | None:
-        """Return what is missing of the whole text; None when it contradicts."""
+        """Return the part of the complete text that is not sent yet.
+
+        Returns None if the complete text differs from the text that was sent.
+        """
         self._generated = whole
         return self._take_unsent()
 
@@ -202,7 +213,8 @@
 def _text_mismatch_refusal() -> Refusal:
     return Refusal(
         Reason.TARGET_FAILED,
-        "the turn was run again and its text differs; send the same turn again",
+        "the turn was run again and generated a different text; send the same turn "
+        "again",
         verdict=Verdict.MAY_HAVE_RUN,
         retry_after_seconds=1.0,
     )
@@ -210,5 +222,7 @@
 
 def _incomplete_answer_refusal() -> Refusal:
     return Refusal(
-        Reason.INTERNAL, "the answer broke off", verdict=Verdict.MAY_HAVE_RUN
+        Reason.INTERNAL,
+        "the answer ended before it was complete",
+        verdict=Verdict.MAY_HAVE_RUN,
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_dispatcher.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_dispatcher.py
@@ -1,4 +1,10 @@
-"""Follows a call at its holder, across broken connections and takeovers."""
+"""Forwarding of a call to its holder, with recovery from lost connections and hosts.
+
+The holder of a call is the host that holds the slot of its program. The dispatcher
+selects the holder from the membership and yields the events of the call. When the
+connection breaks, it connects again and continues after the last event received. When
+another host has taken over the slot, the call starts again at that host.
+"""
 
 import logging
 import time
@@ -27,28 +33,30 @@
 log = logging.getLogger(__name__)
 
 HOLDER_SILENCE_TIMEOUT_SECONDS = 4.0
-"""Silence of a holder, which says something every second, before a NEW connection
-is tried."""
+"""Time without any line from a holder after which the connection is replaced by a new
+one. A working holder sends at least one line per second."""
 
 HOLDER_RETRY_INTERVAL_SECONDS = 0.2
 ZONE_EXCLUSION_SECONDS = 3.0
-"""How long a zone whose holder wasn't reached is passed over: its programs are served
-here meanwhile, as safely, but without the engine caches that they have there."""
+"""Time during which a zone is not selected after its holder could not be reached. Its
+programs are served by the next zone meanwhile. This is equally safe, but the engine
+caches of the excluded zone are not used."""
 
 CALLS_PATH = "/peer/v1/calls"
 
 
 class Dispatcher:
-    """Sends calls to the holders of their programs.
+    """Selects the holder of each call and yields the events of the call.
 
     Parameters
     ----------
     membership : MembershipService
     peers : PeerClient
     table : CallTable
-        For programs that this host holds.
+        Runs the calls of programs whose slot this host holds.
     takeover_seconds : float
-        Longest time without any holder: a lease, its margins, and the claims.
+        Longest time for which a slot may have no holder: the duration of a lease,
+        its safety margins and the time to claim the slot.
     """
 
     def __init__(
@@ -65,11 +73,11 @@
         self._excluded_until_by_zone: dict[str, float] = {}
 
     def holder(self, call: Call) -> HostRow | None:
-        """Return the host that a call should go to now, or None.
+        """Return the host to which a call is to be sent now, or None.
 
-        A program is served in its home zone; where that has no holder or isn't
-        reached, in the next zone of its ranking. Single calls have the own zone as
-        their home.
+        A program is served in its home zone. If the home zone has no holder for the
+        slot or is excluded, the program is served in the next zone of its ranking.
+        A call without a program is served in the zone of this host first.
         """
         membership = self.membership
         zones = ranked_zones(call.placement_key, membership.zones())
@@ -85,25 +93,45 @@
         return None
 
     def exclude_zone_of(self, holder: HostRow) -> None:
-        """Note that a holder wasn't reached; the own zone is never passed over."""
+        """Exclude the zone of a holder that could not be reached.
+
+        The zone of this host is never excluded.
+        """
         if holder.zone != self.membership.me.zone:
             down_until = time.monotonic() + ZONE_EXCLUSION_SECONDS
             self._excluded_until_by_zone[holder.zone] = down_until
 
     def follow(self, call: Call, traceparent: str) -> Iterator[CallEvent]:
-        """Yield the events of a call; the last one is final.
+        """Yield the events of a call, up to and including its final event.
 
         Notes
         -----
-        After a takeover the new holder runs the call anew, which yields `Reset`. The
-        call itself decides whether that is allowed: a turn that is committed is
-        answered from the history, a journaled call from the journal.
+        After a takeover the new holder runs the call again. `Reset` is yielded if
+        events of the first run have been yielded. The new holder decides whether the
+        call may run again: a committed turn is answered from the history, and a
+        journaled call is answered from the journal.
         """
         return _CallFollower(self, call, traceparent).events()
 
 
 class _CallFollower:
-    """One call and how far its events have come."""
+    """State of one call that is being followed.
+
+    Attributes
+    ----------
+    deadline : float
+        Monotonic time in seconds at which the call is given up.
+    n_events_received : int
+        Number of events received from the current holder, keep-alives excluded.
+    holder : tuple of (str, str) or None
+        Host and incarnation of the current holder.
+    may_have_been_sent : bool
+        Whether a holder may have received the call.
+    holder_lost_after_send : bool
+        Whether a holder that may have received the call was replaced by another one.
+    last_event_at : float
+        Monotonic time in seconds of the last event, keep-alives included.
+    """
 
     def __init__(self, dispatcher: Dispatcher, call: Call, traceparent: str) -> None:
         self.dispatcher = dispatcher
@@ -117,7 +145,7 @@
         self.last_event_at = time.monotonic()
 
     def events(self) -> Iterator[CallEvent]:
-        """Yield events until the final one."""
+        """Yield the events of the call, up to and including the final one."""
         while True:
             holder = self.dispatcher.holder(self.call)
             if holder is not None:
@@ -145,10 +173,11 @@
         self.holder = place
 
     def _follow_connection(self, holder: HostRow) -> Iterator[CallEvent]:
-        """Yield what one connection brings; return whether the call has ended.
+        """Yield the events of one connection; return whether the call has ended.
 
-        A holder that refuses as not run is done with the call, so it doesn't count as
-        one that got it, unless an earlier connection to it broke.
+        A holder that refuses a call with the verdict "not run" will not run it
+        later. It is therefore not counted as a holder that may have received the
+        call, unless an earlier connection to it broke.
         """
         sent_before = self.may_have_been_sent
         for event in self._open_events(holder):
@@ -203,7 +232,7 @@
         except (urllib3.exceptions.HTTPError, OSError, msgspec.MsgspecError) as exc:
             self.dispatcher.exclude_zone_of(holder)
             log.info(
-                "connection to the holder broke",
+                "connection to the holder broke before the final event; retrying",
                 extra={
                     "request_id": self.call.request_id,
                     "peer": holder.host,
@@ -212,11 +241,11 @@
             )
 
     def _include_lost_holders(self, event: CallEvent) -> CallEvent:
-        """Return an event whose verdict also covers holders that were lost.
+        """Return the event with a verdict that also covers lost holders.
 
-        A holder that got the call and vanished may have sent it to a target. What a
-        later holder says of its own attempt, "not run", would then not be true of
-        the request.
+        A holder that received the call and was lost may have sent it to a target. The
+        verdict "not run" of a later holder covers only its own attempt and would be
+        wrong for the request as a whole.
         """
         if isinstance(event, Failed):
             return Failed(
@@ -225,10 +254,11 @@
         return event
 
     def _is_remote_platform_outage(self, event: CallEvent, holder: HostRow) -> bool:
-        """Return whether another zone refuses because it has lost the platform.
+        """Return whether a holder in another zone refuses for lack of the platform.
 
-        This zone may still see it. Passing the refusal on would stop every program
-        whose home is the other zone for as long as that zone is cut off.
+        The refusal is ignored while this host can reach the platform. Passing it on
+        would stop every program whose home is the other zone for as long as that zone
+        is cut off.
         """
         return (
             isinstance(event, Failed)
@@ -246,9 +276,11 @@
         )
 
     def _final_refusal(self) -> Refusal | None:
-        """Return the final refusal when waiting for a holder makes no sense any more.
+        """Return the final refusal if no further attempt is to be made, or None.
 
-        Whoever got the call may have sent it to a target, heard from or not.
+        Attempts end at the deadline, or when no event has arrived for the longest
+        duration of a takeover. A holder that received the call may have sent it to a
+        target, even if no event of it arrived.
         """
         now = time.monotonic()
         silent = now - self.last_event_at
@@ -257,7 +289,7 @@
         verdict = Verdict.MAY_HAVE_RUN if self.may_have_been_sent else Verdict.NOT_RUN
         return Refusal(
             Reason.TIMEOUT if self.may_have_been_sent else Reason.NOT_HOLDER,
-            "no host holds the program's slot",
+            "no holder of the program's slot completed the call in time",
             verdict=verdict,
             retry_after_seconds=1.0,
         )
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_gate.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_gate.py
@@ -1,4 +1,8 @@
-"""Counts the requests under way, so that a planned stop cuts none."""
+"""Count of the requests in flight, for a graceful shutdown.
+
+A host that is stopped refuses new requests and waits until all requests in flight have
+ended. Without the count, a planned stop would abort requests.
+"""
 
 import threading
 from collections.abc import Iterator
@@ -8,7 +12,7 @@
 
 
 class GateState(StrEnum):
-    """How far a host is in its life."""
+    """Stage of a host between start and shutdown."""
 
     STARTING = "starting"
     OPEN = "open"
@@ -17,12 +21,13 @@
 
 
 class Gate:
-    """Lets requests in and waits for the last one to leave.
+    """Accepts or refuses requests and counts those in flight.
 
     Notes
     -----
-    ``LEAVING`` still takes requests: the balancer needs a moment to see that the
-    host isn't ready any more, and a request that it sends meanwhile must not fail.
+    Requests are still accepted in the state ``LEAVING``. The load balancer needs some
+    time to notice that the host is not ready any more, and requests that it sends
+    during that time must not fail. Only ``CLOSED`` refuses requests.
     """
 
     def __init__(self) -> None:
@@ -31,12 +36,12 @@
         self._changed = threading.Condition()
 
     def set(self, state: GateState) -> None:
-        """Move on to another state."""
+        """Change the state of the host."""
         with self._changed:
             self.state = state
 
     def enter(self) -> Refusal | None:
-        """Count a request in, or say why it isn't taken."""
+        """Add a request to the count, or return the refusal if the gate is closed."""
         with self._changed:
             if self.state is GateState.CLOSED:
                 return Refusal(
@@ -48,31 +53,32 @@
             return None
 
     def leave(self) -> None:
-        """Count a request out."""
+        """Remove a request from the count."""
         with self._changed:
             self._n_in_flight -= 1
             self._changed.notify_all()
 
     def n_in_flight(self) -> int:
-        """Return the requests under way."""
+        """Return the number of requests in flight."""
         with self._changed:
             return self._n_in_flight
 
     def wait_until_idle(self, seconds: float) -> bool:
-        """Wait until no request is under way; return whether that came about."""
+        """Wait until no request is in flight; return False after a timeout."""
         with self._changed:
             return self._changed.wait_for(lambda: self._n_in_flight == 0, seconds)
 
     def track_body(self, chunks: Iterator[bytes]) -> Iterator[bytes]:
-        """Yield the chunks of an answer and count its request out at the end."""
+        """Return the chunks of an answer and count its request until they end."""
         return _TrackedBody(self, chunks)
 
 
 class _TrackedBody:
-    """Chunks of an answer whose request is counted out exactly once.
+    """Chunks of an answer whose request is removed from the count exactly once.
 
-    A generator that was never started doesn't run its cleanup when it is closed: a
-    caller that hangs up before the first chunk would be counted as inside for good.
+    This is a class because a generator that was never started doesn't run its
+    ``finally`` blocks when it is closed. The request of a caller that disconnects
+    before the first chunk would then stay in the count forever.
     """
 
     def __init__(self, gate: Gate, chunks: Iterator[bytes]) -> None:
@@ -91,7 +97,7 @@
             raise
 
     def close(self) -> None:
-        """End the answer, finished or not; the server calls this."""
+        """Close the answer, complete or not; called by the HTTP server."""
         try:
             self._chunks.close()
         finally:
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_handlers.py
@@ -1,4 +1,8 @@
-"""What callers can ask of a host."""
+"""HTTP handlers for chat turns and service calls at their entry host.
+
+A handler authenticates the request, checks its headers, profile, body and rate limit,
+and forwards the call to the holder of its program through the dispatcher.
+"""
 
 import time
 from collections.abc import Iterator
@@ -33,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmittedCall:
-    """A request that has passed all checks at its entry host."""
+    """A call that passed the checks of key, headers, profile and customer."""
 
     call: Call
     profile: Profile
@@ -41,7 +45,7 @@
 
 
 class CallHandlers:
-    """Chat turns and service calls at their entry host.
+    """Handlers of chat turns and service calls.
 
     Parameters
     ----------
@@ -81,11 +85,12 @@
         return self._track_request(lambda: self._service(req, service, path))
 
     def _track_request(self, answer) -> Response:
-        """Run a handler between entering and leaving the gate."""
+        """Run a handler and count its request as in flight until the answer ends."""
         refusal = self.gate.enter()
         if refusal is not None:
             response = Response.from_refusal(refusal)
-            # The balancer must not send another request on this connection.
+            # Closing the connection keeps the load balancer from sending further
+            # requests on it.
             headers = (*response.headers, ("Connection", "close"))
             return replace(response, headers=headers)
         try:
@@ -141,7 +146,11 @@
                 case Failed(refusal):
                     return Response.from_refusal(refusal, request_id=call.request_id)
         return Response.from_refusal(
-            Refusal(Reason.INTERNAL, "the answer broke off", Verdict.MAY_HAVE_RUN)
+            Refusal(
+                Reason.INTERNAL,
+                "the answer ended before it was complete",
+                Verdict.MAY_HAVE_RUN,
+            )
         )
 
     def _admit(self, req: Request, kind: CallKind) -> Result[AdmittedCall, Refusal]:
@@ -157,16 +166,16 @@
         profile = self.config.profile(headers.ok.profile)
         if profile is None:
             return Error(
-                Refusal(Reason.NOT_FOUND, f"no profile {headers.ok.profile!r}")
+                Refusal(Reason.NOT_FOUND, f"unknown profile {headers.ok.profile!r}")
             )
         customer = identity.ok.customer
         if profile.customers and customer not in profile.customers:
             return Error(
-                Refusal(Reason.FORBIDDEN, "the profile isn't for this customer")
+                Refusal(Reason.FORBIDDEN, "this customer may not use the profile")
             )
         document = self.config.customer(customer)
         if document is None:
-            return Error(Refusal(Reason.FORBIDDEN, f"no customer {customer!r}"))
+            return Error(Refusal(Reason.FORBIDDEN, f"unknown customer {customer!r}"))
         return self._make_call(req, kind, identity.ok, headers.ok, profile).map(
             lambda call: AdmittedCall(call, profile, document)
         )
@@ -199,7 +208,7 @@
         return Ok(call)
 
     def _events(self, call: Call, req: Request) -> Iterator[CallEvent]:
-        """Yield the call's events, ending them when the caller's key is withdrawn."""
+        """Yield the events of a call, and end them if the caller's key is withdrawn."""
         with self.telemetry.span(
             "entry",
             req.header("traceparent"),
@@ -211,8 +220,8 @@
             for event in self.dispatcher.follow(call, span.traceparent):
                 grant = self.config.key(call.key_hash)
                 if grant is None and not isinstance(event, Finished):
-                    # The connection was there before the key was withdrawn; it must
-                    # not carry the rest of the answer.
+                    # The connection was opened before the key was withdrawn. The
+                    # rest of the answer must not be sent on it.
                     yield Failed(_withdrawn_key_refusal())
                     return
                 if isinstance(event, Failed):
@@ -262,10 +271,11 @@
             Reason.FORBIDDEN, f"the profile doesn't allow service {call.service!r}"
         )
     if must_not_repeat(profile, call) and not call.idempotency_key:
-        # Without a key, a call that is sent again can't be told from a second order.
+        # Without an idempotency key, a retry of a call can't be distinguished from a
+        # second, intended call.
         return Refusal(
             Reason.BAD_REQUEST,
-            "the call may not be repeated: expected an Idempotency-Key",
+            "expected an Idempotency-Key, as this call must run at most once",
         )
     return None
 
@@ -273,6 +283,6 @@
 def _withdrawn_key_refusal() -> Refusal:
     return Refusal(
         Reason.UNAUTHENTICATED,
-        "the key was withdrawn while the call ran",
+        "the key was withdrawn while the call was running",
         verdict=Verdict.MAY_HAVE_RUN,
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_handlers.py
@@ -1,4 +1,4 @@
-"""What callers can ask about their programs."""
+"""HTTP handlers with which callers read and end their programs."""
 
 from dataclasses import asdict, replace
 
@@ -17,16 +17,17 @@
 
 
 class ProgramHandlers:
-    """Reading and ending programs.
+    """Handlers that read and end programs.
 
     Parameters
     ----------
     authenticator : Authenticator
     book : ProgramRegistry
-        Reads rows, and counts programs that end where they are held.
+        Gives access to stored rows. Reports the latency of an ended program if this
+        host holds it.
     config : ConfigService
     engines : EngineClient
-        Told to drop the cache of a program that ended.
+        Sends engines the order to release the cache of a program that ended.
     """
 
     def __init__(
@@ -43,14 +44,14 @@
         self.engines = engines
 
     def show(self, req: Request, program: str) -> Response:
-        """Answer ``GET /v1/programs/{program}``: state and history."""
+        """Answer ``GET /v1/programs/{program}`` with the state and the history."""
         identity = self.authenticator.customer(req)
         if identity.is_error():
             return Response.from_refusal(identity.error)
         return self.show_for_customer(identity.ok.customer, program)
 
     def end(self, req: Request, program: str) -> Response:
-        """Answer ``DELETE /v1/programs/{program}``."""
+        """Answer ``DELETE /v1/programs/{program}`` by ending the program."""
         identity = self.authenticator.customer(req)
         if identity.is_error():
             return Response.from_refusal(identity.error)
@@ -70,7 +71,7 @@
         return Response.from_json({**_summary(row.ok), "history": turns})
 
     def end_for_customer(self, customer: str, program: str) -> Response:
-        """End a program of a customer and release what it holds at engines."""
+        """End a program of a customer and release its caches at engines."""
         row = self._read(customer, program)
         if row.is_error():
             return Response.from_refusal(row.error)
@@ -78,14 +79,17 @@
             row = self._write_ended(row.ok)
             if row.is_error():
                 return Response.from_refusal(row.error)
-        # Known here if this host holds the program; another holder counts it once the
-        # program has been silent for long.
+        # Has an effect only if this host holds the program. Another holder reports
+        # the latency when the program has been silent for the retention time.
         self.book.report_ended(customer, row.ok.root)
         self._release_caches(row.ok)
         return Response.from_json(_summary(row.ok))
 
     def _write_ended(self, row: ProgramRow) -> Result[ProgramRow, Refusal]:
-        """Write that a program has ended; its holder learns of it at its next write."""
+        """Write the state "ended" to the row of a program.
+
+        The version of the row changes, so the holder notices it at its next write.
+        """
         ended = replace(row, state=ProgramState.ENDED)
         outcome = self.store.write_rows((ended,), new_id())
         if outcome.is_error():
@@ -100,13 +104,16 @@
                 return Error(
                     Refusal(
                         Reason.CONFLICT,
-                        "a call of the program ended at the same moment",
+                        "the program's row was changed at the same time",
                         retry_after_seconds=0.5,
                     )
                 )
 
     def _release_caches(self, row: ProgramRow) -> None:
-        """Order the engines at once; one that doesn't hear it is reconciled later."""
+        """Order the engines to release the caches of a program.
+
+        An engine that doesn't receive the order is reconciled later.
+        """
         program = "/".join((row.customer, row.root, row.program))
         for name in row.targets:
             target = self.config.state.get(DocumentKind.TARGET, name)
@@ -115,14 +122,14 @@
 
     def _read(self, customer: str, program: str) -> Result[ProgramRow, Refusal]:
         if not ID_PATTERN.match(program):
-            return Error(Refusal(Reason.BAD_REQUEST, "got an odd program id"))
+            return Error(Refusal(Reason.BAD_REQUEST, "got an invalid program id"))
         row = self.store.read(customer, program)
         if row.is_error():
             return row
         if row.ok is None:
-            # The same answer for a program of another customer: its existence is
-            # nobody else's business.
-            return Error(Refusal(Reason.NOT_FOUND, f"no program {program!r}"))
+            # A program of another customer gives the same answer, so that a caller
+            # can't find out whether it exists.
+            return Error(Refusal(Reason.NOT_FOUND, f"unknown program {program!r}"))
         return Ok(row.ok)
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_roots.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_roots.py
@@ -1,4 +1,8 @@
-"""Finding the root of a program, which decides where its calls go."""
+"""Lookup of the root of a program.
+
+The root program determines the slot, and so the host, that serves all calls of its
+sub-agents. The root of a sub-agent is read from the row of its parent.
+"""
 
 import threading
 from collections import OrderedDict
@@ -12,12 +16,16 @@
 
 
 class ProgramRoots:
-    """Roots by parent, read once from the platform and remembered.
+    """Cache of root programs by parent program.
+
+    The root of a parent is read from the platform once. The root of a program never
+    changes, so entries don't expire. Beyond `MAX_CACHED_ROOTS` entries, the entry
+    that was added first is removed.
 
     Parameters
     ----------
     store : ProgramStore
-        Reads rows.
+        Reads the rows of parent programs.
     """
 
     def __init__(self, store: ProgramStore) -> None:
@@ -32,7 +40,7 @@
         ----------
         customer, program : str
         parent : str
-            Program that started it; empty for a root.
+            Program that started `program`; empty if `program` is itself a root.
         """
         if not parent:
             return Ok(program)
@@ -45,7 +53,7 @@
             return row
         if row.ok is None:
             return Error(
-                Refusal(Reason.NOT_FOUND, f"no program {parent!r} to be the parent")
+                Refusal(Reason.NOT_FOUND, f"parent program {parent!r} does not exist")
             )
         self._cache_root(customer, parent, row.ok.root)
         return Ok(row.ok.root)
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_authenticator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_authenticator.py
@@ -1,4 +1,4 @@
-"""Who a request comes from."""
+"""Tests of the authentication of requests by their key."""
 
 from hashlib import sha256
 from types import SimpleNamespace
@@ -21,7 +21,7 @@
 
 
 def make_authenticator(stale=False):
-    # Like the configuration, which returns no grant for a withdrawn key.
+    # Like ConfigService, `key` returns None for a key without a valid grant.
     config = SimpleNamespace(key=GRANTS.get, is_stale=lambda: stale)
     return Authenticator(config, (hashed("bootstrap"),))
 
@@ -42,8 +42,10 @@
         assert authenticator.operator(request("Bearer customer")).error.status == 403
 
     def test_stale_configuration_refuses_customer_keys(self):
-        """A zone is cut off from everything. A key that was withdrawn elsewhere in the
-        meantime would work there for as long as the cut lasts.
+        """Guards against withdrawn keys that stay valid in a zone that is cut off.
+
+        Such a zone doesn't learn of keys that are withdrawn elsewhere, so it refuses
+        all customer keys once its configuration is stale.
         """
         refused = make_authenticator(stale=True).customer(request("Bearer customer"))
         assert refused.error.verdict == "not_run"
@@ -69,7 +71,10 @@
         ],
     )
     def test_missing_or_unknown_key_is_refused(self, authenticator, value):
-        """Whoever has read a row or a settings file has hashes, not keys."""
+        """Guards, among others, against the use of a key's hash in place of the key.
+
+        Rows and settings files contain hashes, which must not give access.
+        """
         assert authenticator.customer(request(value)).error.status == 401
         assert authenticator.operator(request(value)).error.status == 401
         assert authenticator.refuse_unknown_key(request(value)).status == 401
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_dispatcher.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Which host a call goes to."""
+"""Tests of the choice of the host to which a call is sent."""
 
 from types import SimpleNamespace
 
@@ -8,7 +8,7 @@
 
 
 class Membership:
-    """Zones of which some have a holder for every slot."""
+    """Membership stub in which only the given zones have holders."""
 
     def __init__(self, *with_holder):
         self.me = SimpleNamespace(zone="zb")
@@ -32,7 +32,7 @@
         assert holder(Membership(*ZONES)).zone == "zb"
 
     def test_single_call_moves_to_another_zone_without_a_local_holder(self):
-        """Guards against single calls refused as a lease lapsed in one zone."""
+        """Guards against refused single calls while a lease in one zone has expired."""
         assert holder(Membership("za", "zc")).zone in ("za", "zc")
 
     def test_program_stays_in_its_home_zone(self):
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_input_checks.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_input_checks.py
@@ -1,4 +1,4 @@
-"""Input that no profile allows."""
+"""Tests of the request checks that are independent of the profile."""
 
 import pytest
 
@@ -44,8 +44,10 @@
         ],
     )
     def test_ambiguous_paths_are_refused(self, path):
-        """A caller writes the path of a charge in a way that no prefix of the
-        profile matches and the service resolves all the same: charged twice.
+        """Guards against a customer that is charged twice.
+
+        The path is written so that no at-most-once prefix of the profile matches it,
+        but the service still resolves it to the charge.
         """
         assert check_service_path(request(), "billing", path).status == 400
 
@@ -71,8 +73,9 @@
         ],
     )
     def test_key_outside_authorization_is_refused(self, req):
-        """A client templates its key into a prompt or an id. A target, the history
-        and the logs of every host would have it.
+        """Guards against the disclosure of keys to targets, the history and logs.
+
+        A client inserts its key into a prompt or an id by a template.
         """
         refusal = check_key_not_repeated(req)
         assert refusal.status == 400
