--- a/packages/swifttide_daemon/src/swifttide_daemon/calls/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/calls/__init__.py
@@ -1,4 +1,8 @@
-"""Calls between an entry host and the holder that runs them."""
+"""Calls that an entry host sends to the holder of a program, and their events.
+
+The holder runs each call once and keeps its events, so that an entry host can connect
+again and read the rest of the events after its connection breaks.
+"""
 
 from swifttide_daemon.calls._call import Call, CallKind
 from swifttide_daemon.calls._call_table import CallTable
--- a/packages/swifttide_daemon/src/swifttide_daemon/calls/_call.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/calls/_call.py
@@ -1,11 +1,11 @@
-"""A call on its way from its entry host to the holder of its program."""
+"""Message in which an entry host sends a call to the holder of its program."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class CallKind(StrEnum):
-    """What a call asks for."""
+    """Kind of a call: a chat turn or a call of a plain service."""
 
     CHAT = "chat"
     SERVICE = "service"
@@ -13,36 +13,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request of a caller, authenticated and admitted.
+    """One authenticated and admitted request of a caller.
 
     Parameters
     ----------
     request_id : str
-        The same on every further try, so that a holder attaches a second
-        connection to the call that is already running.
+        Id of the request. It is the same on each attempt of the entry host, so that
+        a holder attaches a second connection to the call that is already running.
     kind : CallKind
         Chat turn or call of a plain service.
     customer : str
-        Customer of the key that came with it.
+        Customer to whom the key of the request was granted.
     key_hash : str
-        Hash of that key, to notice its withdrawal while the call runs.
+        Hash of the key, to notice its withdrawal while the call is running.
     profile : str
-        Profile that the caller named.
+        Name of the profile that the caller selected.
     program, root, parent : str
-        Program, the root of its tree, and who started it; an empty program is a
-        single call without history.
+        Ids of the program, of the root of its tree and of the program that started
+        it. An empty program denotes a single call without history.
     turn : int or None
-        Number that the caller gave.
+        Turn number given by the caller.
     idempotency_key : str
-        The caller's, or empty.
+        Idempotency key given by the caller, or empty.
     service, path, content_type : str
-        Of a plain service's call.
+        Name of the plain service, path below it and type of the body; empty for a
+        chat turn.
     body : bytes
-        The caller's body.
+        Body of the caller's request.
     remaining_seconds : float
-        Time that is left when the message is sent; clocks of hosts aren't compared.
+        Time left until the deadline when the message is sent. A duration is sent as
+        the clocks of two hosts can't be compared.
     from_event : int
-        First event that is wanted; earlier ones have arrived.
+        Index of the first event to be sent. Earlier events have already arrived.
     """
 
     request_id: str
@@ -64,12 +66,12 @@
 
     @property
     def placement_key(self) -> str:
-        """Key whose slot decides for the call."""
+        """Key that determines the slot, and so the holder, of the call."""
         return f"{self.customer}/{self.root or self.request_id}"
 
     @property
     def is_sub_agent(self) -> bool:
-        """Whether another program has started this one."""
+        """Whether the program was started by another program."""
         return self.program != self.root
 
     @property
--- a/packages/swifttide_daemon/src/swifttide_daemon/calls/_call_table.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/calls/_call_table.py
@@ -1,4 +1,9 @@
-"""The calls that run at this host as a holder."""
+"""Table of the calls that this host runs as a holder.
+
+A call is started once per request id. A repeated request, after the connection to the
+entry host broke, is attached to the running or recently ended call. Without this, the
+call would run twice.
+"""
 
 import logging
 import threading
@@ -13,18 +18,20 @@
 log = logging.getLogger(__name__)
 
 ENDED_CALL_RETENTION_SECONDS = 30.0
-"""How long the events of an ended call wait for an entry host that lost them."""
+"""Time for which the events of an ended call are kept, for an entry host that lost its
+connection and reads them again."""
 
 Runner = Callable[[Call, RunningCall, str], None]
 
 
 class CallTable:
-    """Calls by request id, each on a thread of its own.
+    """Running and recently ended calls by request id, each run by its own thread.
 
     Parameters
     ----------
     runner : callable
-        Runs a call and appends its events.
+        Runs a call and appends its events to the `RunningCall`. The third argument
+        is the trace context of the entry host.
     """
 
     def __init__(self, runner: Runner) -> None:
@@ -33,7 +40,7 @@
         self._lock = threading.Lock()
 
     def attach(self, call: Call, traceparent: str = "") -> RunningCall:
-        """Return the running call, starting it if this host hasn't seen it."""
+        """Return the call with the same request id, or start it if there is none."""
         with self._lock:
             self._evict_ended()
             running = self._calls.get(call.request_id)
@@ -45,7 +52,7 @@
         return running
 
     def n_running(self) -> int:
-        """Return how many calls haven't ended."""
+        """Return the number of calls that have not ended."""
         with self._lock:
             return sum(1 for call in self._calls.values() if call.ended_at is None)
 
@@ -53,14 +60,17 @@
         try:
             self.runner(call, running, traceparent)
         except Exception:
-            log.exception("call failed", extra={"request_id": call.request_id})
+            log.exception(
+                "call failed with an unhandled exception",
+                extra={"request_id": call.request_id},
+            )
         finally:
-            # Changes nothing when the runner has ended the call.
+            # Ignored if the runner has already appended a final event.
             running.append(
                 Failed(
                     Refusal(
                         Reason.INTERNAL,
-                        "an internal error; it is in the log",
+                        "internal error; see the log of the host",
                         verdict=Verdict.MAY_HAVE_RUN,
                     )
                 )
--- a/packages/swifttide_daemon/src/swifttide_daemon/calls/_events.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/calls/_events.py
@@ -1,6 +1,7 @@
-"""What a holder tells an entry host of a call, one JSON line an event.
+"""Events that a holder sends to an entry host about a call.
 
-They are msgspec structs rather than data classes: only these decode as a tagged union.
+Each event is one line of JSON. The events are msgspec structs rather than data classes,
+as msgspec decodes only structs as a tagged union.
 """
 
 import msgspec
@@ -9,15 +10,15 @@
 
 
 class Waiting(msgspec.Struct, frozen=True, tag="waiting"):
-    """The call is alive and nothing has happened; not counted as an event.
+    """Keep-alive: the call is running and has no new event.
 
-    Without it, an entry host couldn't tell a call that waits for its target from a
-    connection that has gone silent.
+    It is not counted in event indices. Without it, an entry host could not distinguish
+    a call that waits for its target from a dead connection.
     """
 
 
 class Started(msgspec.Struct, frozen=True, tag="started"):
-    """A target has taken the call."""
+    """A target has accepted the call."""
 
     target: str
 
@@ -29,26 +30,26 @@
 
 
 class Reset(msgspec.Struct, frozen=True, tag="reset"):
-    """Content so far is void: another target starts the turn again."""
+    """The content sent so far is invalid, as the turn is started again."""
 
 
 class Finished(msgspec.Struct, frozen=True, tag="finished"):
-    """The call ran and, where it has a history, is committed.
+    """Final event: the call ran and its turn, if it has a history, is committed.
 
     Parameters
     ----------
     status : int
-        Status of the target's answer.
+        HTTP status of the target's answer.
     body : bytes
-        A service's answer; for a chat turn the whole text.
+        Body of the answer of a service; for a chat turn the complete text.
     content_type : str
-        Of the body.
+        Content type of the body.
     turn : int
-        Turn that was committed; 0 without a history.
+        Number of the committed turn; 0 without a history.
     prompt_tokens, completion_tokens, cached_tokens : int
-        Usage of a chat turn.
+        Token usage of a chat turn.
     replayed : bool
-        Whether the answer comes from an earlier run.
+        Whether the answer is that of an earlier run of the same request.
     """
 
     status: int
@@ -62,7 +63,7 @@
 
 
 class Failed(msgspec.Struct, frozen=True, tag="failed"):
-    """The call was refused or failed; final."""
+    """Final event: the call was refused or failed."""
 
     refusal: Refusal
 
@@ -74,16 +75,16 @@
 
 
 def encode_event(event: CallEvent) -> bytes:
-    """Encode an event as one line."""
+    """Encode an event as one line of JSON."""
     return msgspec.json.encode(event) + b"\n"
 
 
 def decode_event(line: bytes) -> CallEvent:
-    """Decode a line.
+    """Decode an event from one line of JSON.
 
     Raises
     ------
     msgspec.MsgspecError
-        When the line is no event.
+        If the line is not a valid event.
     """
     return _DECODER.decode(line)
--- a/packages/swifttide_daemon/src/swifttide_daemon/calls/_fifo_lock.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/calls/_fifo_lock.py
@@ -1,7 +1,7 @@
-"""A lock that is given in the order in which it was asked for.
+"""Lock that is granted in the order of the requests for it.
 
-A plain lock goes to whichever thread the system wakes first: two calls of a program
-sent one after the other could then run the other way round.
+A plain lock is granted to whichever thread the system wakes up first. Two calls of a
+program that arrive one after the other could then run in reverse order.
 """
 
 import threading
@@ -9,7 +9,7 @@
 
 
 class FifoLock:
-    """Mutual exclusion in order of arrival."""
+    """Mutual exclusion lock with first-in, first-out order."""
 
     def __init__(self) -> None:
         self._guard = threading.Lock()
@@ -17,23 +17,23 @@
         self._held = False
 
     def acquire(self, timeout_seconds: float) -> bool:
-        """Wait for the lock; return whether it was given in time."""
+        """Wait for the lock; return whether it was granted before the timeout."""
         with self._guard:
             if not self._held:
                 self._held = True
                 return True
-            turn = threading.Event()
-            self._waiting.append(turn)
-        if turn.wait(timeout_seconds):
+            granted = threading.Event()
+            self._waiting.append(granted)
+        if granted.wait(timeout_seconds):
             return True
         with self._guard:
-            if turn.is_set():
+            if granted.is_set():
                 return True
-            self._waiting.remove(turn)
+            self._waiting.remove(granted)
             return False
 
     def release(self) -> None:
-        """Pass the lock to whoever has waited longest."""
+        """Release the lock, or pass it to the thread that has waited longest."""
         with self._guard:
             if self._waiting:
                 self._waiting.popleft().set()
@@ -42,6 +42,6 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nobody holds the lock or waits for it."""
+        """Whether no thread holds the lock or waits for it."""
         with self._guard:
             return not self._held
--- a/packages/swifttide_daemon/src/swifttide_daemon/calls/_running_call.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/calls/_running_call.py
@@ -1,4 +1,7 @@
-"""The events of one call, written by its runner and read by connections."""
+"""Event log of one call, appended by its runner and read by connections.
+
+Several connections can read the events of a call from any index on.
+"""
 
 import threading
 import time
@@ -7,15 +10,21 @@
 from swifttide_daemon.calls._events import CallEvent, Failed, Finished, Waiting
 
 KEEPALIVE_INTERVAL_SECONDS = 1.0
-"""A reader hears something at least this often."""
+"""Longest time between two events that a reader receives; `Waiting` is sent if the call
+has no new event."""
 
 
 class RunningCall:
-    """An append-only list of events that any number of readers follow.
+    """Append-only list of events that any number of readers can follow.
+
+    The connection between entry host and holder can break or become silent while the
+    call continues to run. The entry host then connects again and continues after the
+    last event that it received, instead of running the call twice.
 
-    A connection between entry host and holder can break or go silent while the call
-    runs on. The entry host then attaches again and reads on from where it was,
-    instead of running the call twice.
+    Attributes
+    ----------
+    ended_at : float or None
+        Monotonic time of the final event, in seconds; None while the call runs.
     """
 
     def __init__(self) -> None:
@@ -25,7 +34,7 @@
         self.ended_at: float | None = None
 
     def append(self, event: CallEvent) -> None:
-        """Add an event and wake the readers."""
+        """Add an event and wake up the readers; ignored after the final event."""
         with self._changed:
             if self.ended_at is not None:
                 return
@@ -35,12 +44,12 @@
             self._changed.notify_all()
 
     def last_event(self) -> CallEvent | None:
-        """Return the newest event; final once the call has ended."""
+        """Return the last event, which is the final one once the call has ended."""
         with self._changed:
             return self._events[-1] if self._events else None
 
     def follow(self, start: int) -> Iterator[CallEvent]:
-        """Yield events from number `start` on, up to the last one of the call."""
+        """Yield the events from index `start` on, up to the final one."""
         with self._changed:
             self._n_readers += 1
         try:
@@ -50,7 +59,7 @@
                 self._n_readers -= 1
 
     def has_readers(self) -> bool:
-        """Return whether anybody follows the call."""
+        """Return whether any reader follows the call."""
         with self._changed:
             return self._n_readers > 0
 
