--- a/packages/swifttide_core/src/swifttide_core/configuration/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: edits, their order, and what a host knows of them."""
+"""Configuration changes and the state of the configuration at a host."""
 
 from swifttide_core.configuration._change import Change
 from swifttide_core.configuration._config_state import (
--- a/packages/swifttide_core/src/swifttide_core/configuration/_change.py
+++ b/packages/swifttide_core/src/swifttide_core/configuration/_change.py
@@ -1,4 +1,4 @@
-"""One accepted edit of the configuration."""
+"""Entry of the configuration log: one accepted edit of a document."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -13,15 +13,16 @@
     Parameters
     ----------
     version : int
-        Global version that the edit made; the log has no gaps.
+        Version of the configuration that the edit created. Versions are global and
+        consecutive.
     kind : DocumentKind
         Kind of the document.
     name : str
         Name of the document, unique within its kind.
     document : dict or None
-        The document as JSON; None when it was removed.
+        The document as decoded JSON; None if it was removed.
     operator : str
-        First characters of the hash of the operator's key.
+        First characters of the hash of the key of the operator who made the edit.
     """
 
     version: int
--- a/packages/swifttide_core/src/swifttide_core/configuration/_config_state.py
+++ b/packages/swifttide_core/src/swifttide_core/configuration/_config_state.py
@@ -1,9 +1,9 @@
-"""The configuration as a host knows it, only ever going forward.
+"""State of the configuration at a host, with versions that only increase.
 
-The platform's store can answer a read from an older state (a replica that lags, a
-restored copy), and a peer can know less than this host. Believing either would bring
-back a withdrawn key. A document is therefore replaced only by a change of a higher
-version, and the known version never falls.
+The platform's store can answer a read from an older state (a lagging replica or a
+restored backup), and a peer can have an older state than this host. Accepting an older
+state would make a withdrawn key valid again. A document is therefore replaced only by a
+change with a higher version, and the version of the state never decreases.
 """
 
 from collections.abc import Iterable
@@ -29,12 +29,12 @@
 
 
 class ConfigState:
-    """Documents by kind and name, with the version of each.
+    """Documents by kind and name, with the last change of each.
 
     Attributes
     ----------
     version : int
-        Every change up to this version is known here.
+        Version up to which all changes have been applied.
     """
 
     def __init__(self) -> None:
@@ -45,14 +45,14 @@
         }
 
     def apply(self, changes: Iterable[Change]) -> list[Change]:
-        """Take in log entries in version order; stop at a gap.
+        """Apply log entries in the order of their versions, up to the first gap.
 
         Returns
         -------
         list of Change
-            Entries that were news.
+            Changes that replaced or removed a document.
         """
-        news = []
+        applied = []
         for change in sorted(changes, key=lambda c: c.version):
             if change.version <= self.version:
                 continue
@@ -60,16 +60,24 @@
                 break
             self.version = change.version
             if self._apply_if_newer(change):
-                news.append(change)
-        return news
+                applied.append(change)
+        return applied
 
     def load(self, version: int, changes: Iterable[Change]) -> None:
-        """Take in the newest change of every document, read after head `version`.
+        """Apply the latest change of every document, read after the head of the log.
+
+        Parameters
+        ----------
+        version : int
+            Version of the head of the log, read before the documents.
+        changes : iterable of Change
+            Latest change of every document. A lower `version` than that of this
+            state means that they come from an older state, so they are ignored.
 
         Notes
         -----
-        Documents may already be newer than the head that was read before them; the
-        log entries from `version` on then change nothing.
+        A document may already be newer than `version`. The log entries after
+        `version` that are applied later then don't change it.
         """
         if version < self.version:
             return
@@ -78,22 +86,22 @@
         self.version = version
 
     def get(self, kind: DocumentKind, name: str) -> Document | None:
-        """Return a document, or None."""
+        """Return a document, or None if it does not exist."""
         return self._documents[kind].get(name)
 
     def all(self, kind: DocumentKind) -> list[Document]:
-        """Return the documents of a kind, by name."""
+        """Return the documents of a kind, sorted by name."""
         return [doc for _, doc in sorted(self._documents[kind].items())]
 
     def latest_change(self, kind: DocumentKind, name: str) -> Change | None:
-        """Return the newest change of a document, removals included."""
+        """Return the latest change of a document, which may be its removal."""
         return self._changes.get((kind, name))
 
     def latest_changes_after(self, version: int) -> list[Change]:
-        """Return the newest change of each document that is later than `version`.
+        """Return the latest change of each document if it is later than `version`.
 
-        With the known version they bring any host of an older one up to date, however
-        far behind it is.
+        Together with the version of this state, these changes update a host whose
+        state has `version`, however old it is.
         """
         changes = self._changes.values()
         return sorted(
@@ -102,27 +110,28 @@
         )
 
     def latest_changes_of_kind(self, kind: DocumentKind) -> list[Change]:
-        """Return the newest change of each document of a kind that exists."""
+        """Return the latest change of each existing document of a kind."""
         return [
             change
-            for (of_kind, _), change in sorted(self._changes.items())
-            if of_kind is kind and change.document is not None
+            for (change_kind, _), change in sorted(self._changes.items())
+            if change_kind is kind and change.document is not None
         ]
 
     def _apply_if_newer(self, change: Change) -> bool:
-        """Keep a change unless the document is already as new."""
-        place = (change.kind, change.name)
-        known = self._changes.get(place)
+        """Apply a change if it is newer than the document; return whether it was."""
+        key = (change.kind, change.name)
+        known = self._changes.get(key)
         if known is not None and known.version >= change.version:
             return False
-        self._changes[place] = change
-        of_kind = dict(self._documents[change.kind])
+        self._changes[key] = change
+        documents = dict(self._documents[change.kind])
         if change.document is None:
-            of_kind.pop(change.name, None)
+            documents.pop(change.name, None)
         else:
-            of_kind[change.name] = msgspec.convert(
+            documents[change.name] = msgspec.convert(
                 change.document, DOCUMENT_TYPES[change.kind]
             )
-        # Readers run on other threads; they see the old map or the new one.
-        self._documents[change.kind] = of_kind
+        # Readers run on other threads. Replacing the dictionary lets them see either
+        # the old or the new one, never a partial change.
+        self._documents[change.kind] = documents
         return True
--- a/packages/swifttide_core/src/swifttide_core/configuration/tests/test_config_state.py
+++ b/packages/swifttide_core/src/swifttide_core/configuration/tests/test_config_state.py
@@ -1,4 +1,4 @@
-"""The configuration goes forward only."""
+"""Tests that the state of the configuration never returns to an older version."""
 
 from swifttide_core.configuration import Change, ConfigState
 from swifttide_core.documents import DocumentKind
@@ -13,8 +13,9 @@
 
 class TestConfigState:
     def test_older_state_does_not_restore_a_withdrawn_key(self):
-        """The store answers from a copy that lags, after a key was withdrawn. A host
-        that believes it would serve a caller whose key was taken away.
+        """Guards against requests that are served with a withdrawn key.
+
+        The store answers from a lagging replica after the key was withdrawn.
         """
         state = ConfigState()
         state.apply([key_change(1, False), key_change(2, True)])
@@ -24,8 +25,10 @@
         assert state.get(DocumentKind.KEY, KEY).withdrawn
 
     def test_changes_after_a_gap_are_not_applied(self):
-        """A peer's answer is cut, so a change in the middle is missing. Counting it as
-        known would leave the host without that edit for good.
+        """Guards against an edit that a host never receives.
+
+        A peer's answer is truncated, so that a change in the middle is missing. If the
+        host counted it as applied, it would not request it again.
         """
         state = ConfigState()
         state.apply([key_change(1, False), key_change(3, True)])
@@ -45,8 +48,10 @@
         assert state.latest_change(DocumentKind.KEY, KEY).version == 2
 
     def test_host_far_behind_catches_up_from_a_peer(self):
-        """A zone loses the platform for days and reaches one host elsewhere. What that
-        host has must be enough, though it doesn't keep old entries of the log.
+        """Guards against a zone that can't catch up after days without the platform.
+
+        It reaches only one host of another zone. That host doesn't keep old entries
+        of the log, so the latest changes of all documents must be sufficient.
         """
         ahead, behind = ConfigState(), ConfigState()
         behind.apply([key_change(1, False)])
--- a/packages/swifttide_core/src/swifttide_core/documents/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/__init__.py
@@ -1,4 +1,4 @@
-"""Documents that operators edit: profiles, customers, keys, targets."""
+"""Configuration documents that operators edit: profiles, customers, keys, targets."""
 
 from swifttide_core.documents._check_document import (
     Document,
--- a/packages/swifttide_core/src/swifttide_core/documents/_check_document.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/_check_document.py
@@ -1,7 +1,8 @@
-"""The one check that a document passes before it is accepted.
+"""Validation of a configuration document before it is accepted.
 
-The command runs it before it sends an edit and the daemon runs it again before it
-writes one: a profile that the fleet can't decode would otherwise reach every host.
+The command line tool validates a document before it sends an edit, and the daemon
+validates it again before it stores the edit. Without the second validation, a document
+that the hosts can't decode could reach every host.
 """
 
 from typing import Any
@@ -27,7 +28,8 @@
 Document = Profile | Customer | KeyGrant | Target
 
 MAX_PROFILE_DURATION_SECONDS = 86_400.0
-"""Longest span of time in a profile; a longer one is a slip of the unit."""
+"""Upper bound of most durations in a profile. A longer duration is most likely given in
+the wrong unit."""
 
 MAX_BUDGET_TOKENS = 1_000_000_000
 MAX_TURNS = 100_000
@@ -50,14 +52,16 @@
 def check_document(
     kind: DocumentKind | str, raw: Any
 ) -> Result[Document, tuple[FieldError, ...]]:
-    """Decode a document strictly and check its ranges.
+    """Decode a document and check the ranges of its fields.
+
+    Wrong types and unknown fields are errors.
 
     Parameters
     ----------
     kind : DocumentKind or str
-        What the document describes.
+        Kind of the document.
     raw : object
-        Decoded JSON.
+        Document as decoded JSON.
 
     Returns
     -------
@@ -125,9 +129,10 @@
 
 
 def _check_call_prefix(path: str, value: str) -> tuple[FieldError, ...]:
-    """Check a ``service/path`` prefix.
+    """Check a ``service/path`` prefix of calls that must run at most once.
 
-    A prefix that no call can match would leave a charge repeatable without a word.
+    A prefix that no call can match would silently leave a call, such as a charge,
+    repeatable.
     """
     service, _, rest = value.partition("/")
     printable = rest.isascii() and rest.isprintable() and " " not in rest
@@ -148,7 +153,7 @@
     errors = check_key_hash("key_hash", doc.key_hash)
     if doc.operator and doc.customer:
         got = show(doc.customer)
-        return (*errors, FieldError("customer", got, "nothing for an operator's key"))
+        return (*errors, FieldError("customer", got, "no customer for an operator key"))
     if doc.operator:
         return errors
     return (*errors, *check_name("customer", doc.customer))
--- a/packages/swifttide_core/src/swifttide_core/documents/_customer.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/_customer.py
@@ -1,20 +1,20 @@
-"""The customer: who pays, and how much it may send."""
+"""Customer document: the party that is charged, and its rate limit."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """Rate and burst of a customer over all hosts together.
+    """Rate limit of a customer, for the requests to all hosts together.
 
     Parameters
     ----------
     name : str
         Id of the customer.
     rate_per_second : float
-        Requests admitted a second in the long run.
+        Long-term rate of admitted requests per second.
     burst : float
-        Requests admitted at once after a quiet spell.
+        Number of requests that are admitted at once after a period without requests.
     """
 
     name: str
--- a/packages/swifttide_core/src/swifttide_core/documents/_document_kind.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/_document_kind.py
@@ -1,10 +1,10 @@
-"""Kinds of documents that operators edit."""
+"""Kinds of configuration documents."""
 
 from enum import StrEnum
 
 
 class DocumentKind(StrEnum):
-    """What a document describes; the values are part of the rows' keys."""
+    """Kind of a document; the values are part of the keys of stored rows."""
 
     PROFILE = "profile"
     CUSTOMER = "customer"
--- a/packages/swifttide_core/src/swifttide_core/documents/_history_mode.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/_history_mode.py
@@ -1,17 +1,18 @@
-"""Who holds the history of a program."""
+"""Choice of the party that stores the history of a program."""
 
 from enum import StrEnum
 
 
 class HistoryMode(StrEnum):
-    """Where a program's history lasts.
+    """Place where the history of a program is stored.
 
     Notes
     -----
-    ``DURABLE`` turns are committed to the platform before the caller gets the last
-    event, so an outage of the platform refuses new turns (not run, with when to
-    come back). ``CALLER`` programs send their whole history with each call, so
-    their turns go on during an outage: there is nothing that could be lost.
+    Turns of ``DURABLE`` programs are committed to the platform before the caller
+    receives the final event. During an outage of the platform, new turns are refused
+    with the verdict "not run" and a time after which to retry. Callers of ``CALLER``
+    programs send the complete history with each call. Their turns continue to be
+    served during an outage, as no history can be lost.
     """
 
     DURABLE = "durable"
--- a/packages/swifttide_core/src/swifttide_core/documents/_key_grant.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/_key_grant.py
@@ -1,22 +1,23 @@
-"""A key that operators granted to a customer, or to an operator."""
+"""Key grant document: an access key granted to a customer or an operator."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class KeyGrant:
-    """A granted key; the key itself is never stored.
+    """Grant of an access key. Only the hash of the key is stored.
 
     Parameters
     ----------
     key_hash : str
-        SHA-256 of the key in hex.
+        SHA-256 of the key, in hexadecimal.
     customer : str
-        Customer whose requests come with it; empty for an operator's key.
+        Customer to whom the key is granted; empty for an operator key.
     operator : bool
-        Whether it opens the operators' calls.
+        Whether the key gives access to the operators' requests.
     withdrawn : bool
-        A withdrawn key stays listed, so that an older state can't revive it.
+        Whether the key is withdrawn. The document of a withdrawn key is kept, so
+        that an older state of the configuration can't make the key valid again.
     """
 
     key_hash: str
--- a/packages/swifttide_core/src/swifttide_core/documents/_profile.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/_profile.py
@@ -1,4 +1,4 @@
-"""The profile: how a class of agent programs is served."""
+"""Profile document: limits, priorities and times for a class of agent programs."""
 
 from dataclasses import dataclass, field
 
@@ -7,44 +7,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Profile:
-    """What operators write and services pick by name.
+    """Settings for a class of agent programs, which callers select by name.
 
     Parameters
     ----------
     name : str
         Name that callers send in ``Swifttide-Profile``.
     customers : tuple of str
-        Ids of the customers that may use it; empty for all.
+        Ids of the customers that may use the profile; empty for all.
     model : str
-        Model that its chat calls are served by.
+        Model that serves the chat calls.
     services : tuple of str
-        Plain services that its programs may call; empty for all.
+        Plain services that programs may call; empty for all.
     never_repeat : tuple of str
-        ``service/path`` prefixes whose calls may run at most once.
+        ``service/path`` prefixes of calls that must run at most once.
     budget_tokens : int
-        Tokens that a root program and its sub-agents may use together.
+        Maximum number of tokens that a root program and its sub-agents use together.
     max_turns : int
-        Turns of a root program and its sub-agents together.
+        Maximum number of turns of a root program and its sub-agents together.
     max_calls : int
-        Calls of plain services of a root program and its sub-agents together.
+        Maximum number of calls of plain services by a root program and its
+        sub-agents together.
     max_program_seconds : float
-        Time from a root program's first turn after which it gets no further one.
+        Time after a root program's first turn from which on no turn is started.
     max_turn_tokens : int
-        Tokens that one turn may generate; reserved before it is dispatched.
+        Maximum number of tokens that one turn generates. They are reserved before
+        the turn is dispatched.
     weight : float
-        Share of a customer against the others while targets are full.
+        Relative share of a customer while targets are fully loaded.
     urgency : int
-        0 is normal; larger goes first within a customer.
+        Priority within a customer; 0 is normal, larger values are served first.
     deadline_seconds : float
-        Wanted latency of the whole program, tool pauses included.
+        Desired latency of the whole program, including pauses for tools.
     turn_timeout_seconds : float
-        Longest that one call may take at a target.
+        Maximum duration of one call at a target.
     idle_seconds : float
-        Silence after which a program's cache at targets is released.
+        Time without calls after which a program's cache at targets is released.
     tool_pause_seconds : float
-        Expected pause between turns, until the daemon has measured one.
+        Expected pause between turns, used until the daemon has measured one.
     history : HistoryMode
-        Who holds a program's history, hence what an outage of the platform stops.
+        Place where the history is stored, which determines whether turns are served
+        during an outage of the platform.
     """
 
     name: str
--- a/packages/swifttide_core/src/swifttide_core/documents/_target.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/_target.py
@@ -1,11 +1,11 @@
-"""A target: a model engine or a plain service."""
+"""Target document: a model engine or a plain service that requests are sent to."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class TargetKind(StrEnum):
-    """What a target serves."""
+    """Kind of a target: a model engine or a plain service."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -13,26 +13,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Where requests are sent.
+    """Engine or plain service to which requests are sent.
 
     Parameters
     ----------
     name : str
         Id of the target.
     kind : TargetKind
-        Engine or plain service.
+        Kind of the target.
     zone : str
-        Availability zone that it stands in.
+        Availability zone in which the target runs.
     url : str
-        Base URL, by IP number.
+        Base URL with an IP address as its host.
     serves : str
         Model of an engine, or name of the plain service.
     checks_fencing : bool
-        Whether it refuses an order with an old fencing number.
+        Whether the target refuses orders with an outdated fencing number.
     leaving : bool
-        Whether it must get no new work.
+        Whether no new work must be sent to the target.
     max_concurrency : int
-        Upper bound of calls at once; the adaptive limit moves below it.
+        Upper bound of the concurrent calls; the adaptive limit stays below it.
     """
 
     name: str
--- a/packages/swifttide_core/src/swifttide_core/documents/tests/test_check_document.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/tests/test_check_document.py
@@ -1,4 +1,4 @@
-"""Documents that operators edit."""
+"""Tests of the validation of configuration documents."""
 
 from pathlib import Path
 
@@ -54,7 +54,10 @@
         assert error_paths("key", {"key_hash": KEY_HASH}) == {"customer"}
 
     def test_errors_do_not_contain_the_key(self):
-        """A key is put where its hash belongs, and the refusal is logged."""
+        """Guards against keys in logs.
+
+        A key is given in place of its hash, and the refusal is logged.
+        """
         for bad in ("sk-secret", ["sk-secret"]):
             errors = check_document("key", {"key_hash": bad, "customer": "c"}).error
             assert "sk-secret" not in str([str(e) for e in errors])
--- a/packages/swifttide_core/src/swifttide_core/slots/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/slots/__init__.py
@@ -1,4 +1,8 @@
-"""Slots: fixed units of decision inside an availability zone."""
+"""Slots: the fixed partitions of keys within an availability zone.
+
+Each slot is held by one host of the zone at a time, which makes the decisions for all
+keys of the slot.
+"""
 
 from swifttide_core.slots._slot_map import (
     SlotKind,
--- a/packages/swifttide_core/src/swifttide_core/slots/_slot_map.py
+++ b/packages/swifttide_core/src/swifttide_core/slots/_slot_map.py
@@ -1,4 +1,8 @@
-"""Placement of programs, customers, targets and fingerprints on slots."""
+"""Mapping of keys to slots, of slots to hosts and of programs to zones.
+
+The mappings are hash functions of their arguments, so that all hosts with the same
+membership compute the same result without communication.
+"""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -7,7 +11,11 @@
 
 
 class SlotKind(StrEnum):
-    """What a slot key names; kinds hash apart so that their load spreads."""
+    """Kind of a key.
+
+    The kind is part of the hash, so that equal keys of different kinds are mapped
+    independently of each other and the load is spread.
+    """
 
     PROGRAM = "program"
     CUSTOMER = "customer"
@@ -21,17 +29,17 @@
     Parameters
     ----------
     kind : SlotKind
-        What the key names.
+        Kind of the key.
     key : str
-        For a program, the id of its ROOT, so that sub-agents share the place
-        where order and budget are decided.
+        For a program, the id of its ROOT, so that the order and the budget of all
+        its sub-agents are decided by the same slot.
     n_slots : int
         Fixed number of slots of an availability zone.
 
     Returns
     -------
     int
-        In ``range(n_slots)``.
+        Number of the slot, in ``range(n_slots)``.
     """
     return _hash(f"{kind}\0{key}") % n_slots
 
@@ -42,15 +50,15 @@
     Parameters
     ----------
     slot : int
-        Slot of the zone.
+        Number of the slot within the zone.
     hosts : iterable of str
         Ids of the zone's live hosts.
 
     Returns
     -------
     str or None
-        None when there is no live host. When a host joins or leaves, only the
-        slots that it gains or held move.
+        None if there is no live host. When a host joins or leaves, only the slots
+        that it gains or held are assigned to another host.
     """
     return max(
         hosts,
@@ -60,7 +68,7 @@
 
 
 def ranked_zones(key: str, zones: Iterable[str]) -> list[str]:
-    """Return zones in the order in which they should serve a root program.
+    """Return zones in the order of preference for serving a root program.
 
     Parameters
     ----------
@@ -72,9 +80,10 @@
     Returns
     -------
     list of str
-        The home zone first, by rendezvous hashing. Balancers send each call of a
-        program to another entry host; were it served in whichever zone it enters,
-        its history and its engine's cache would move with each turn.
+        All zones, the home zone first, ordered by rendezvous hashing. Load balancers
+        send the calls of a program to different entry hosts. If a call were served in
+        the zone of its entry host, the program's history and engine cache would have
+        to move with each turn.
     """
     return sorted(zones, key=lambda zone: (_hash(f"{key}\0{zone}"), zone), reverse=True)
 
--- a/packages/swifttide_core/src/swifttide_core/slots/tests/test_slot_map.py
+++ b/packages/swifttide_core/src/swifttide_core/slots/tests/test_slot_map.py
@@ -1,4 +1,4 @@
-"""Placement on slots and hosts."""
+"""Tests of the mapping of keys to slots, hosts and zones."""
 
 from collections import Counter
 
@@ -10,8 +10,10 @@
 
 class TestPreferredHost:
     def test_only_slots_of_a_lost_host_move(self):
-        """A host dies. If other slots moved too, programs on healthy hosts would
-        stall for a takeover that nothing called for.
+        """Guards against unnecessary takeovers when a host fails.
+
+        If slots of other hosts moved too, programs on healthy hosts would be delayed
+        by a takeover.
         """
         before = {s: preferred_host(s, HOSTS) for s in range(N_SLOTS)}
         after = {s: preferred_host(s, HOSTS[1:]) for s in range(N_SLOTS)}
@@ -33,8 +35,10 @@
 
 class TestRankedZones:
     def test_home_zones_are_balanced_and_stable(self):
-        """A zone is lost. Only the programs at home there may move; the others would
-        lose their engines' caches for nothing.
+        """Guards against unnecessary moves of programs when a zone fails.
+
+        Only programs whose home is the failed zone may move. The others would lose
+        their engine caches.
         """
         zones = ["a", "b", "c"]
         before = {f"p{i}": ranked_zones(f"p{i}", zones) for i in range(300)}
