--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_authenticator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_authenticator.py
@@ -51,9 +51,11 @@
 
     def refuse_unknown_key(self, req: Request) -> Refusal | None:
         """Return the refusal of a request without a granted key, or None."""
-        found = self.customer(req)
+        customer = self.customer(req)
         return (
-            found.error if found.is_error() and self.operator(req).is_error() else None
+            customer.error
+            if customer.is_error() and self.operator(req).is_error()
+            else None
         )
 
     def customer(self, req: Request) -> Result[Identity, Refusal]:
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_chat_answer.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_chat_answer.py
@@ -67,23 +67,23 @@
     for event in events:
         match event:
             case Content(piece):
-                fresh = text.add(piece)
-                if fresh is None:
+                unsent = text.add(piece)
+                if unsent is None:
                     yield _sse_error(_text_mismatch_refusal())
                     return
-                if fresh:
-                    yield _sse_data(_chunk(call, fresh))
+                if unsent:
+                    yield _sse_data(_chunk(call, unsent))
             case Reset():
                 text.restart_generation()
             case Waiting():
                 yield SSE_KEEPALIVE
             case Finished():
-                rest = text.complete(event.body.decode())
-                if rest is None:
+                unsent_rest = text.complete(event.body.decode())
+                if unsent_rest is None:
                     yield _sse_error(_text_mismatch_refusal())
                     return
-                if rest:
-                    yield _sse_data(_chunk(call, rest))
+                if unsent_rest:
+                    yield _sse_data(_chunk(call, unsent_rest))
                 yield _sse_data(_final_chunk(call, event))
                 yield b"data: [DONE]\n\n"
                 return
@@ -130,9 +130,9 @@
             return ""
         if not self._generated.startswith(self._sent):
             return None
-        fresh = self._generated[len(self._sent) :]
+        unsent = self._generated[len(self._sent) :]
         self._sent = self._generated
-        return fresh
+        return unsent
 
 
 def _completion(call: Call, event: Finished) -> dict[str, object]:
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_dispatcher.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_dispatcher.py
@@ -98,8 +98,8 @@
         The zone of this host is never excluded.
         """
         if holder.zone != self.membership.me.zone:
-            down_until = time.monotonic() + ZONE_EXCLUSION_SECONDS
-            self._excluded_until_by_zone[holder.zone] = down_until
+            excluded_until = time.monotonic() + ZONE_EXCLUSION_SECONDS
+            self._excluded_until_by_zone[holder.zone] = excluded_until
 
     def follow(self, call: Call, traceparent: str) -> Iterator[CallEvent]:
         """Yield the events of a call, up to and including its final event.
@@ -153,24 +153,24 @@
                 ended = yield from self._follow_connection(holder)
                 if ended:
                     return
-            gave_up = self._final_refusal()
-            if gave_up is not None:
-                yield Failed(gave_up)
+            refusal = self._final_refusal()
+            if refusal is not None:
+                yield Failed(refusal)
                 return
             self.dispatcher.membership.look_again()
             time.sleep(HOLDER_RETRY_INTERVAL_SECONDS)
             yield Waiting()
 
     def _switch_holder(self, holder: HostRow) -> Iterator[CallEvent]:
-        place = (holder.host, holder.incarnation)
-        if self.holder not in (None, place):
+        new_holder = (holder.host, holder.incarnation)
+        if self.holder not in (None, new_holder):
             self.holder_lost_after_send = (
                 self.holder_lost_after_send or self.may_have_been_sent
             )
             if self.n_events_received:
                 self.n_events_received = 0
                 yield Reset()
-        self.holder = place
+        self.holder = new_holder
 
     def _follow_connection(self, holder: HostRow) -> Iterator[CallEvent]:
         """Yield the events of one connection; return whether the call has ended.
@@ -179,17 +179,17 @@
         later. It is therefore not counted as a holder that may have received the
         call, unless an earlier connection to it broke.
         """
-        sent_before = self.may_have_been_sent
+        was_possibly_sent = self.may_have_been_sent
         for event in self._open_events(holder):
             self.last_event_at = time.monotonic()
             if isinstance(event, Waiting):
                 yield event
                 continue
             if self._is_not_holder_refusal(event):
-                self.may_have_been_sent = sent_before
+                self.may_have_been_sent = was_possibly_sent
                 return False
             if self._is_remote_platform_outage(event, holder):
-                self.may_have_been_sent = sent_before
+                self.may_have_been_sent = was_possibly_sent
                 self.dispatcher.exclude_zone_of(holder)
                 return False
             self.n_events_received += 1
@@ -199,9 +199,11 @@
         return False
 
     def _open_events(self, holder: HostRow) -> Iterator[CallEvent]:
-        left = max(0.0, self.deadline - time.monotonic())
+        remaining_seconds = max(0.0, self.deadline - time.monotonic())
         call = replace(
-            self.call, remaining_seconds=left, from_event=self.n_events_received
+            self.call,
+            remaining_seconds=remaining_seconds,
+            from_event=self.n_events_received,
         )
         membership = self.dispatcher.membership
         if holder.host == membership.me.host:
@@ -283,8 +285,8 @@
         target, even if no event of it arrived.
         """
         now = time.monotonic()
-        silent = now - self.last_event_at
-        if now < self.deadline and silent < self.dispatcher.takeover_seconds:
+        silence_seconds = now - self.last_event_at
+        if now < self.deadline and silence_seconds < self.dispatcher.takeover_seconds:
             return None
         verdict = Verdict.MAY_HAVE_RUN if self.may_have_been_sent else Verdict.NOT_RUN
         return Refusal(
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_handlers.py
@@ -84,7 +84,7 @@
         """Answer ``POST /v1/services/{service}/{path}``."""
         return self._track_request(lambda: self._service(req, service, path))
 
-    def _track_request(self, answer) -> Response:
+    def _track_request(self, handler) -> Response:
         """Run a handler and count its request as in flight until the answer ends."""
         refusal = self.gate.enter()
         if refusal is not None:
@@ -94,7 +94,7 @@
             headers = (*response.headers, ("Connection", "close"))
             return replace(response, headers=headers)
         try:
-            response = answer()
+            response = handler()
         except BaseException:
             self.gate.leave()
             raise
@@ -157,9 +157,9 @@
         identity = self.authenticator.customer(req)
         if identity.is_error():
             return identity
-        leak = check_key_not_repeated(req)
-        if leak is not None:
-            return Error(leak)
+        key_refusal = check_key_not_repeated(req)
+        if key_refusal is not None:
+            return Error(key_refusal)
         headers = CallHeaders.from_request(req)
         if headers.is_error():
             return headers
@@ -240,13 +240,13 @@
                 yield event
 
     def _refusal_response(self, customer: str, refusal: Refusal) -> Response:
-        within = refusal.reason not in (
+        within_rate = refusal.reason not in (
             Reason.RATE_LIMITED,
             Reason.UNAUTHENTICATED,
             Reason.BAD_REQUEST,
         )
         self.telemetry.metrics.refuse(
-            customer, refusal.reason, refusal.verdict, within_rate=within
+            customer, refusal.reason, refusal.verdict, within_rate=within_rate
         )
         return Response.from_refusal(refusal)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_handlers.py
@@ -22,7 +22,7 @@
     Parameters
     ----------
     authenticator : Authenticator
-    book : ProgramRegistry
+    registry : ProgramRegistry
         Gives access to stored rows. Reports the latency of an ended program if this
         host holds it.
     config : ConfigService
@@ -33,13 +33,13 @@
     def __init__(
         self,
         authenticator: Authenticator,
-        book: ProgramRegistry,
+        registry: ProgramRegistry,
         config: ConfigService,
         engines: EngineClient,
     ) -> None:
         self.authenticator = authenticator
-        self.book = book
-        self.store = book.store
+        self.registry = registry
+        self.store = registry.store
         self.config = config
         self.engines = engines
 
@@ -81,7 +81,7 @@
                 return Response.from_refusal(row.error)
         # Has an effect only if this host holds the program. Another holder reports
         # the latency when the program has been silent for the retention time.
-        self.book.report_ended(customer, row.ok.root)
+        self.registry.report_ended(customer, row.ok.root)
         self._release_caches(row.ok)
         return Response.from_json(_summary(row.ok))
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_roots.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_roots.py
@@ -45,9 +45,9 @@
         if not parent:
             return Ok(program)
         with self._lock:
-            known = self._root_by_parent.get((customer, parent))
-        if known is not None:
-            return Ok(known)
+            root = self._root_by_parent.get((customer, parent))
+        if root is not None:
+            return Ok(root)
         row = self.store.read(customer, parent)
         if row.is_error():
             return row
--- a/packages/swifttide_daemon/src/swifttide_daemon/programs/_program_registry.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/programs/_program_registry.py
@@ -26,7 +26,7 @@
     ProgramTree,
 )
 
-MAX_CACHED_HISTORY_BYTES = 64 * 1024 * 1024
+MAX_CACHED_HISTORY_CHARS = 64 * 1024 * 1024
 """Upper bound of the conversations kept in memory, counted in characters of their
 messages. Conversations beyond it are read again from the platform's objects."""
 
@@ -249,7 +249,7 @@
         for tree in trees:
             for entry in tree.programs.values():
                 n_cached_chars += sum(len(m.content) for m in entry.messages)
-                if n_cached_chars > MAX_CACHED_HISTORY_BYTES and entry.order.idle:
+                if n_cached_chars > MAX_CACHED_HISTORY_CHARS and entry.order.idle:
                     entry.chunks, entry.messages = (), ()
 
     def _report_latency(self, tree: ProgramTree) -> None:
