--- a/packages/swifttide_core/src/swifttide_core/documents/_check_document.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/_check_document.py
@@ -1,7 +1,8 @@
-"""The one check that a document passes before it is accepted.
+"""Validation of a configuration document before it is accepted.
 
-The command runs it before it sends an edit and the daemon runs it again before it
-writes one: a profile that the fleet can't decode would otherwise reach every host.
+The command line tool validates a document before it sends an edit, and the daemon
+validates it again before it stores the edit. Without the second validation, a document
+that the hosts can't decode could reach every host.
 """
 
 from typing import Any
@@ -26,20 +27,21 @@
 
 Document = Profile | Customer | KeyGrant | Target
 
-DAY_SECONDS = 86_400.0
-"""Longest span of time in a profile; a longer one is a slip of the unit."""
+MAX_PROFILE_DURATION_SECONDS = 86_400.0
+"""Upper bound of most durations in a profile. A longer duration is most likely given in
+the wrong unit."""
 
 MAX_BUDGET_TOKENS = 1_000_000_000
 MAX_TURNS = 100_000
 MAX_CALLS = 1_000_000
-MAX_PROGRAM_SECONDS = 30 * DAY_SECONDS
+MAX_PROGRAM_SECONDS = 30 * MAX_PROFILE_DURATION_SECONDS
 MAX_RATE_PER_SECOND = 1_000_000.0
 MAX_WEIGHT = 1000.0
 MIN_WEIGHT = 0.001
 MAX_URGENCY = 100
 MAX_CONCURRENCY = 100_000
 
-_CLASSES: dict[DocumentKind, type] = {
+_CLASS_BY_KIND: dict[DocumentKind, type] = {
     DocumentKind.PROFILE: Profile,
     DocumentKind.CUSTOMER: Customer,
     DocumentKind.KEY: KeyGrant,
@@ -50,24 +52,26 @@
 def check_document(
     kind: DocumentKind | str, raw: Any
 ) -> Result[Document, tuple[FieldError, ...]]:
-    """Decode a document strictly and check its ranges.
+    """Decode a document and check the ranges of its fields.
+
+    Wrong types and unknown fields are errors.
 
     Parameters
     ----------
     kind : DocumentKind or str
-        What the document describes.
+        Kind of the document.
     raw : object
-        Decoded JSON.
+        Document as decoded JSON.
 
     Returns
     -------
     Result
         The document, or every error with its path, got and expected value.
     """
-    if kind not in _CLASSES:
+    if kind not in _CLASS_BY_KIND:
         expected = "one of " + ", ".join(DocumentKind)
         return Error((FieldError("kind", show(str(kind)), expected),))
-    decoded = decode_fields(_CLASSES[DocumentKind(kind)], raw)
+    decoded = decode_fields(_CLASS_BY_KIND[DocumentKind(kind)], raw)
     return decoded.bind(_check_ranges)
 
 
@@ -88,7 +92,7 @@
         case Customer():
             errors = _check_customer(document)
         case KeyGrant():
-            errors = _check_key(document)
+            errors = _check_key_grant(document)
         case Target():
             errors = _check_target(document)
     return Error(errors) if errors else Ok(document)
@@ -106,7 +110,7 @@
         *check_each("customers", doc.customers, check_name),
         *check_name("model", doc.model),
         *check_each("services", doc.services, check_name),
-        *check_each("never_repeat", doc.never_repeat, _check_prefix),
+        *check_each("never_repeat", doc.never_repeat, _check_call_prefix),
         *check_between("budget_tokens", doc.budget_tokens, 1, MAX_BUDGET_TOKENS),
         *check_between("max_turns", doc.max_turns, 1, MAX_TURNS),
         *check_between("max_calls", doc.max_calls, 1, MAX_CALLS),
@@ -119,15 +123,16 @@
     ]
     for name, value in seconds:
         errors += check_between(
-            name, value, 0.0 if "pause" in name else 0.1, DAY_SECONDS
+            name, value, 0.0 if "pause" in name else 0.1, MAX_PROFILE_DURATION_SECONDS
         )
     return tuple(errors)
 
 
-def _check_prefix(path: str, value: str) -> tuple[FieldError, ...]:
-    """Check a ``service/path`` prefix.
+def _check_call_prefix(path: str, value: str) -> tuple[FieldError, ...]:
+    """Check a ``service/path`` prefix of calls that must run at most once.
 
-    A prefix that no call can match would leave a charge repeatable without a word.
+    A prefix that no call can match would silently leave a call, such as a charge,
+    repeatable.
     """
     service, _, rest = value.partition("/")
     printable = rest.isascii() and rest.isprintable() and " " not in rest
@@ -144,11 +149,11 @@
     )
 
 
-def _check_key(doc: KeyGrant) -> tuple[FieldError, ...]:
+def _check_key_grant(doc: KeyGrant) -> tuple[FieldError, ...]:
     errors = check_key_hash("key_hash", doc.key_hash)
     if doc.operator and doc.customer:
         got = show(doc.customer)
-        return (*errors, FieldError("customer", got, "nothing for an operator's key"))
+        return (*errors, FieldError("customer", got, "no customer for an operator key"))
     if doc.operator:
         return errors
     return (*errors, *check_name("customer", doc.customer))
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_handlers.py
@@ -1,4 +1,8 @@
-"""What callers can ask of a host."""
+"""HTTP handlers for chat turns and service calls at their entry host.
+
+A handler authenticates the request, checks its headers, profile, body and rate limit,
+and forwards the call to the holder of its program through the dispatcher.
+"""
 
 import time
 from collections.abc import Iterator
@@ -14,12 +18,15 @@
 from swifttide_daemon.entry._call_headers import CallHeaders
 from swifttide_daemon.entry._chat_answer import (
     REQUEST_ID_HEADER,
-    streamed_answer,
-    whole_answer,
+    completion_response,
+    streaming_response,
 )
 from swifttide_daemon.entry._dispatcher import Dispatcher
 from swifttide_daemon.entry._gate import Gate
-from swifttide_daemon.entry._input_checks import check_key_stays, check_service_path
+from swifttide_daemon.entry._input_checks import (
+    check_key_not_repeated,
+    check_service_path,
+)
 from swifttide_daemon.entry._program_roots import ProgramRoots
 from swifttide_daemon.limits import RateLimiter
 from swifttide_daemon.runners import ChatBody, must_not_repeat
@@ -29,8 +36,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
-    """A request that has passed all checks at its entry host."""
+class AdmittedCall:
+    """A call that passed the checks of key, headers, profile and customer."""
 
     call: Call
     profile: Profile
@@ -38,7 +45,7 @@
 
 
 class CallHandlers:
-    """Chat turns and service calls at their entry host.
+    """Handlers of chat turns and service calls.
 
     Parameters
     ----------
@@ -71,50 +78,51 @@
 
     def chat(self, req: Request) -> Response:
         """Answer ``POST /v1/chat/completions``."""
-        return self._inside(lambda: self._chat(req))
+        return self._track_request(lambda: self._chat(req))
 
     def service(self, req: Request, service: str, path: str) -> Response:
         """Answer ``POST /v1/services/{service}/{path}``."""
-        return self._inside(lambda: self._service(req, service, path))
+        return self._track_request(lambda: self._service(req, service, path))
 
-    def _inside(self, answer) -> Response:
-        """Run a handler between entering and leaving the gate."""
+    def _track_request(self, handler) -> Response:
+        """Run a handler and count its request as in flight until the answer ends."""
         refusal = self.gate.enter()
         if refusal is not None:
             response = Response.from_refusal(refusal)
-            # The balancer must not send another request on this connection.
+            # Closing the connection keeps the load balancer from sending further
+            # requests on it.
             headers = (*response.headers, ("Connection", "close"))
             return replace(response, headers=headers)
         try:
-            response = answer()
+            response = handler()
         except BaseException:
             self.gate.leave()
             raise
         if isinstance(response.body, bytes):
             self.gate.leave()
             return response
-        return replace(response, body=self.gate.follow(response.body))
+        return replace(response, body=self.gate.track_body(response.body))
 
     def _chat(self, req: Request) -> Response:
         admitted = self._admit(req, CallKind.CHAT)
         if admitted.is_error():
-            return self._refuse("", admitted.error)
+            return self._refusal_response("", admitted.error)
         body = ChatBody.from_bytes(req.body)
         if body.is_error():
-            return self._refuse(admitted.ok.call.customer, body.error)
+            return self._refusal_response(admitted.ok.call.customer, body.error)
         admission = self.limiter.admit(admitted.ok.customer)
         if admission is not None:
-            return self._refuse(admitted.ok.call.customer, admission)
+            return self._refusal_response(admitted.ok.call.customer, admission)
         call = admitted.ok.call
         events = self._events(call, req)
         if body.ok.stream:
-            return streamed_answer(call, events)
-        return whole_answer(call, events)
+            return streaming_response(call, events)
+        return completion_response(call, events)
 
     def _service(self, req: Request, service: str, path: str) -> Response:
         admitted = self._admit(req, CallKind.SERVICE)
         if admitted.is_error():
-            return self._refuse("", admitted.error)
+            return self._refusal_response("", admitted.error)
         profile = admitted.ok.profile
         call = replace(
             admitted.ok.call,
@@ -123,10 +131,10 @@
             content_type=req.header("content-type"),
         )
         refusal = check_service_path(req, service, path)
-        refusal = refusal or _check_service(profile, call)
+        refusal = refusal or _check_service_call(profile, call)
         refusal = refusal or self.limiter.admit(admitted.ok.customer)
         if refusal is not None:
-            return self._refuse(call.customer, refusal)
+            return self._refusal_response(call.customer, refusal)
         for event in self._events(call, req):
             match event:
                 case Finished():
@@ -138,37 +146,41 @@
                 case Failed(refusal):
                     return Response.from_refusal(refusal, request_id=call.request_id)
         return Response.from_refusal(
-            Refusal(Reason.INTERNAL, "the answer broke off", Verdict.MAY_HAVE_RUN)
+            Refusal(
+                Reason.INTERNAL,
+                "the answer ended before it was complete",
+                Verdict.MAY_HAVE_RUN,
+            )
         )
 
-    def _admit(self, req: Request, kind: CallKind) -> Result[Admitted, Refusal]:
+    def _admit(self, req: Request, kind: CallKind) -> Result[AdmittedCall, Refusal]:
         identity = self.authenticator.customer(req)
         if identity.is_error():
             return identity
-        leak = check_key_stays(req)
-        if leak is not None:
-            return Error(leak)
+        key_refusal = check_key_not_repeated(req)
+        if key_refusal is not None:
+            return Error(key_refusal)
         headers = CallHeaders.from_request(req)
         if headers.is_error():
             return headers
         profile = self.config.profile(headers.ok.profile)
         if profile is None:
             return Error(
-                Refusal(Reason.NOT_FOUND, f"no profile {headers.ok.profile!r}")
+                Refusal(Reason.NOT_FOUND, f"unknown profile {headers.ok.profile!r}")
             )
         customer = identity.ok.customer
         if profile.customers and customer not in profile.customers:
             return Error(
-                Refusal(Reason.FORBIDDEN, "the profile isn't for this customer")
+                Refusal(Reason.FORBIDDEN, "this customer may not use the profile")
             )
         document = self.config.customer(customer)
         if document is None:
-            return Error(Refusal(Reason.FORBIDDEN, f"no customer {customer!r}"))
-        return self._place(req, kind, identity.ok, headers.ok, profile).map(
-            lambda call: Admitted(call, profile, document)
+            return Error(Refusal(Reason.FORBIDDEN, f"unknown customer {customer!r}"))
+        return self._make_call(req, kind, identity.ok, headers.ok, profile).map(
+            lambda call: AdmittedCall(call, profile, document)
         )
 
-    def _place(
+    def _make_call(
         self,
         req: Request,
         kind: CallKind,
@@ -196,7 +208,7 @@
         return Ok(call)
 
     def _events(self, call: Call, req: Request) -> Iterator[CallEvent]:
-        """Yield the call's events, ending them when the caller's key is withdrawn."""
+        """Yield the events of a call, and end them if the caller's key is withdrawn."""
         with self.telemetry.span(
             "entry",
             req.header("traceparent"),
@@ -208,12 +220,12 @@
             for event in self.dispatcher.follow(call, span.traceparent):
                 grant = self.config.key(call.key_hash)
                 if grant is None and not isinstance(event, Finished):
-                    # The connection was there before the key was withdrawn; it must
-                    # not carry the rest of the answer.
-                    yield Failed(_withdrawn())
+                    # The connection was opened before the key was withdrawn. The
+                    # rest of the answer must not be sent on it.
+                    yield Failed(_withdrawn_key_refusal())
                     return
                 if isinstance(event, Failed):
-                    self._note(call, event.refusal)
+                    self._record_refusal(call, event.refusal)
                     span.set(verdict=event.refusal.verdict.value)
                 elif isinstance(event, Finished):
                     span.set(verdict=Verdict.RAN.value)
@@ -227,18 +239,18 @@
                     )
                 yield event
 
-    def _refuse(self, customer: str, refusal: Refusal) -> Response:
-        within = refusal.reason not in (
+    def _refusal_response(self, customer: str, refusal: Refusal) -> Response:
+        within_rate = refusal.reason not in (
             Reason.RATE_LIMITED,
             Reason.UNAUTHENTICATED,
             Reason.BAD_REQUEST,
         )
         self.telemetry.metrics.refuse(
-            customer, refusal.reason, refusal.verdict, within_rate=within
+            customer, refusal.reason, refusal.verdict, within_rate=within_rate
         )
         return Response.from_refusal(refusal)
 
-    def _note(self, call: Call, refusal: Refusal) -> None:
+    def _record_refusal(self, call: Call, refusal: Refusal) -> None:
         self.telemetry.metrics.refuse(
             call.customer, refusal.reason, refusal.verdict, within_rate=True
         )
@@ -253,23 +265,24 @@
         )
 
 
-def _check_service(profile: Profile, call: Call) -> Refusal | None:
+def _check_service_call(profile: Profile, call: Call) -> Refusal | None:
     if profile.services and call.service not in profile.services:
         return Refusal(
             Reason.FORBIDDEN, f"the profile doesn't allow service {call.service!r}"
         )
     if must_not_repeat(profile, call) and not call.idempotency_key:
-        # Without a key, a call that is sent again can't be told from a second order.
+        # Without an idempotency key, a retry of a call can't be distinguished from a
+        # second, intended call.
         return Refusal(
             Reason.BAD_REQUEST,
-            "the call may not be repeated: expected an Idempotency-Key",
+            "expected an Idempotency-Key, as this call must run at most once",
         )
     return None
 
 
-def _withdrawn() -> Refusal:
+def _withdrawn_key_refusal() -> Refusal:
     return Refusal(
         Reason.UNAUTHENTICATED,
-        "the key was withdrawn while the call ran",
+        "the key was withdrawn while the call was running",
         verdict=Verdict.MAY_HAVE_RUN,
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_roots.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_roots.py
@@ -1,4 +1,8 @@
-"""Finding the root of a program, which decides where its calls go."""
+"""Lookup of the root of a program.
+
+The root program determines the slot, and so the host, that serves all calls of its
+sub-agents. The root of a sub-agent is read from the row of its parent.
+"""
 
 import threading
 from collections import OrderedDict
@@ -8,21 +12,25 @@
 from swifttide_core.verdicts import Reason, Refusal
 from swifttide_daemon.programs import ProgramStore
 
-MAX_KNOWN = 20_000
+MAX_CACHED_ROOTS = 20_000
 
 
 class ProgramRoots:
-    """Roots by parent, read once from the platform and remembered.
+    """Cache of root programs by parent program.
+
+    The root of a parent is read from the platform once. The root of a program never
+    changes, so entries don't expire. Beyond `MAX_CACHED_ROOTS` entries, the entry
+    that was added first is removed.
 
     Parameters
     ----------
     store : ProgramStore
-        Reads rows.
+        Reads the rows of parent programs.
     """
 
     def __init__(self, store: ProgramStore) -> None:
         self.store = store
-        self._known: OrderedDict[tuple[str, str], str] = OrderedDict()
+        self._root_by_parent: OrderedDict[tuple[str, str], str] = OrderedDict()
         self._lock = threading.Lock()
 
     def root(self, customer: str, program: str, parent: str) -> Result[str, Refusal]:
@@ -32,26 +40,26 @@
         ----------
         customer, program : str
         parent : str
-            Program that started it; empty for a root.
+            Program that started `program`; empty if `program` is itself a root.
         """
         if not parent:
             return Ok(program)
         with self._lock:
-            known = self._known.get((customer, parent))
-        if known is not None:
-            return Ok(known)
+            root = self._root_by_parent.get((customer, parent))
+        if root is not None:
+            return Ok(root)
         row = self.store.read(customer, parent)
         if row.is_error():
             return row
         if row.ok is None:
             return Error(
-                Refusal(Reason.NOT_FOUND, f"no program {parent!r} to be the parent")
+                Refusal(Reason.NOT_FOUND, f"parent program {parent!r} does not exist")
             )
-        self._remember(customer, parent, row.ok.root)
+        self._cache_root(customer, parent, row.ok.root)
         return Ok(row.ok.root)
 
-    def _remember(self, customer: str, parent: str, root: str) -> None:
+    def _cache_root(self, customer: str, parent: str, root: str) -> None:
         with self._lock:
-            self._known[(customer, parent)] = root
-            if len(self._known) > MAX_KNOWN:
-                self._known.popitem(last=False)
+            self._root_by_parent[(customer, parent)] = root
+            if len(self._root_by_parent) > MAX_CACHED_ROOTS:
+                self._root_by_parent.popitem(last=False)
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_input_checks.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/tests/test_input_checks.py
@@ -1,8 +1,11 @@
-"""Input that no profile allows."""
+"""Tests of the request checks that are independent of the profile."""
 
 import pytest
 
-from swifttide_daemon.entry._input_checks import check_key_stays, check_service_path
+from swifttide_daemon.entry._input_checks import (
+    check_key_not_repeated,
+    check_service_path,
+)
 from swifttide_daemon.web import Request
 
 KEY = "st-0123456789abcdef"
@@ -40,9 +43,11 @@
             "",
         ],
     )
-    def test_paths_that_a_target_may_read_otherwise(self, path):
-        """A caller writes the path of a charge in a way that no prefix of the
-        profile matches and the service resolves all the same: charged twice.
+    def test_ambiguous_paths_are_refused(self, path):
+        """Guards against a customer that is charged twice.
+
+        The path is written so that no at-most-once prefix of the profile matches it,
+        but the service still resolves it to the charge.
         """
         assert check_service_path(request(), "billing", path).status == 400
 
@@ -53,9 +58,9 @@
         assert check_service_path(request(query="x=1"), "s", "p").status == 400
 
 
-class TestKeyStays:
+class TestKeyNotRepeated:
     def test_plain_request(self):
-        assert check_key_stays(request(body=b'{"messages": []}')) is None
+        assert check_key_not_repeated(request(body=b'{"messages": []}')) is None
 
     @pytest.mark.parametrize(
         "req",
@@ -67,14 +72,15 @@
             request(**{"x-api-key": KEY}),
         ],
     )
-    def test_key_elsewhere(self, req):
-        """A client templates its key into a prompt or an id. A target, the history
-        and the logs of every host would have it.
+    def test_key_outside_authorization_is_refused(self, req):
+        """Guards against the disclosure of keys to targets, the history and logs.
+
+        A client inserts its key into a prompt or an id by a template.
         """
-        refusal = check_key_stays(req)
+        refusal = check_key_not_repeated(req)
         assert refusal.status == 400
         assert KEY not in refusal.detail
 
     def test_short_keys_are_not_searched_for(self):
         req = Request("POST", "/", "", {"authorization": "Bearer a"}, b"banana")
-        assert check_key_stays(req) is None
+        assert check_key_not_repeated(req) is None
