--- a/packages/swifttide_core/src/swifttide_core/admission/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/__init__.py
@@ -9,51 +9,55 @@
 from swifttide_core.admission._load_report import LoadReport
 from swifttide_core.admission._outcome import Outcome, OutcomeStatus
 from swifttide_core.admission._profile_estimates import ProfileEstimates
-from swifttide_core.admission._program_gate import Entered, ProgramGate, TurnedAway
-from swifttide_core.admission._snapshot import QueueSnapshot
-from swifttide_core.admission._target_pace import (
-    ColdTerms,
-    KeeperStanding,
-    Paced,
-    TargetPace,
+from swifttide_core.admission._program_gate import (
+    ProgramAdmitted,
+    ProgramGate,
+    ProgramRefused,
 )
+from swifttide_core.admission._snapshot import QueueSnapshot
 from swifttide_core.admission._target_queue import TargetQueue
+from swifttide_core.admission._target_rate_limiter import (
+    ColdTargetLimits,
+    ReadyTargets,
+    SchedulerStanding,
+    TargetRateLimiter,
+)
 from swifttide_core.admission._ticket import Ticket, check_ticket
-from swifttide_core.admission._turn_order import (
-    PlaceLater,
-    PlaceQuestion,
+from swifttide_core.admission._turn_scheduler import (
+    PlacementDeferred,
+    PlacementRequest,
     TurnId,
-    TurnOrder,
+    TurnScheduler,
 )
 from swifttide_core.admission._working_set import WorkingSet
 
 __all__ = [
     "AdmissionConfig",
     "Admitted",
-    "ColdTerms",
+    "ColdTargetLimits",
     "ConcurrencyLimit",
     "Decision",
     "DrainRate",
-    "Entered",
     "FairQueue",
-    "KeeperStanding",
     "LoadReport",
     "Outcome",
     "OutcomeStatus",
-    "Paced",
-    "PlaceLater",
-    "PlaceQuestion",
+    "PlacementDeferred",
+    "PlacementRequest",
     "ProfileEstimates",
+    "ProgramAdmitted",
     "ProgramGate",
+    "ProgramRefused",
     "QueueSnapshot",
     "Queued",
+    "ReadyTargets",
     "Refused",
-    "TargetPace",
+    "SchedulerStanding",
     "TargetQueue",
+    "TargetRateLimiter",
     "Ticket",
     "TurnId",
-    "TurnOrder",
-    "TurnedAway",
+    "TurnScheduler",
     "WorkingSet",
     "call_cost",
     "check_admission_config",
--- a/packages/swifttide_core/src/swifttide_core/admission/_concurrency_limit.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_concurrency_limit.py
@@ -36,7 +36,7 @@
         self._max = max(max_limit, cfg.min_limit)
         self._limit = float(self._max)
         self._decreased_at = float("-inf")
-        self._held = False
+        self._growth_paused = False
 
     @property
     def value(self) -> int:
@@ -51,7 +51,7 @@
         self._max = bound
         self._limit = min(self._limit, float(self._max))
 
-    def released(self, now: float, outcome: Outcome, saturated: bool) -> None:
+    def observe_release(self, now: float, outcome: Outcome, saturated: bool) -> None:
         """Learn from a call that ended.
 
         Parameters
@@ -70,10 +70,10 @@
                 return
             case OutcomeStatus.CANCELLED | OutcomeStatus.NOT_SENT:
                 return
-        if saturated and not self._held:
+        if saturated and not self._growth_paused:
             self._increase()
 
-    def reported(self, now: float, report: LoadReport) -> None:
+    def observe_load(self, now: float, report: LoadReport) -> None:
         """Learn from a late load report.
 
         Parameters
@@ -84,8 +84,8 @@
             Engine's load; one measured before the last decrease tells of the old
             limit and only holds growth back.
         """
-        self._held = report.waiting > 0
-        if self._held and report.measured_at > self._decreased_at:
+        self._growth_paused = report.waiting > 0
+        if self._growth_paused and report.measured_at > self._decreased_at:
             self._decrease(now)
 
     def _increase(self) -> None:
--- a/packages/swifttide_core/src/swifttide_core/admission/_drain_rate.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_drain_rate.py
@@ -13,7 +13,7 @@
 
 import math
 
-PRIOR_SECONDS = 2.0
+PRIOR_WEIGHT_SECONDS = 2.0
 """Weight of Little's estimate, in seconds of busy time; about one service time."""
 
 SERVICE_SMOOTHING = 0.1
@@ -66,7 +66,9 @@
             self._busy_seconds += elapsed
         self._updated_at = now
 
-    def released(self, busy: bool, service_seconds: float, tokens: float) -> None:
+    def observe_release(
+        self, busy: bool, service_seconds: float, tokens: float
+    ) -> None:
         """Account for one release.
 
         Parameters
@@ -91,7 +93,7 @@
             service_seconds - self._service_seconds
         )
 
-    def entered(self, busy: bool) -> None:
+    def observe_entry(self, busy: bool) -> None:
         """Account for an event without a service time of its own."""
         if busy:
             self._busy_releases += 1.0
@@ -103,8 +105,8 @@
     def per_second(self, limit: float) -> float:
         """Return releases a second at the given concurrency limit."""
         little = limit / max(self._service_seconds, 1e-3)
-        releases = self._busy_releases + PRIOR_SECONDS * little
-        return releases / (self._busy_seconds + PRIOR_SECONDS)
+        releases = self._busy_releases + PRIOR_WEIGHT_SECONDS * little
+        return releases / (self._busy_seconds + PRIOR_WEIGHT_SECONDS)
 
     def tokens_per_second(self, limit: float, expected_tokens: float) -> float:
         """Return tokens a second, by the mean size of the calls released so far.
--- a/packages/swifttide_core/src/swifttide_core/admission/_fair_queue.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_fair_queue.py
@@ -78,12 +78,12 @@
 
     def __init__(self) -> None:
         self._customers: dict[str, _CustomerState] = {}
-        self._order: tuple[list, list] = ([], [])
+        self._customer_heaps: tuple[list, list] = ([], [])
         self._idle: list[tuple[float, str]] = []
         self._tickets: dict[str, tuple[Ticket, int]] = {}
         self._sequence = itertools.count()
-        self._virtual_now = 0.0
-        self._n_entering = 0
+        self._virtual_tokens = 0.0
+        self._n_waiting_first_calls = 0
         self.active_weight = 0.0
 
     def __len__(self) -> int:
@@ -95,9 +95,9 @@
         return ticket_id in self._tickets
 
     @property
-    def n_entering(self) -> int:
+    def n_waiting_first_calls(self) -> int:
         """First calls that wait to enter."""
-        return self._n_entering
+        return self._n_waiting_first_calls
 
     @property
     def n_customers(self) -> int:
@@ -122,13 +122,13 @@
         tokens = lane.tokens.get(ticket.urgency, 0.0)
         lane.tokens[ticket.urgency] = tokens + ticket.expected_tokens
         lane.n_queued += 1
-        self._n_entering += lane_of(ticket)
+        self._n_waiting_first_calls += lane_of(ticket)
         if lane.n_queued == 1:
-            self._place(ticket.customer, state, lane_of(ticket))
+            self._push_customer(ticket.customer, state, lane_of(ticket))
 
-    def peek_entry(self) -> Ticket | None:
+    def peek_first_call(self) -> Ticket | None:
         """Return the first call that would enter next."""
-        name = self._top(Lane.ENTRY)
+        name = self._top_customer(Lane.ENTRY)
         if name is None:
             return None
         lane = self._customers[name].lanes[Lane.ENTRY]
@@ -147,7 +147,7 @@
         for lane in Lane:
             if lane is Lane.ENTRY and not entry_allowed:
                 continue
-            name = self._top(lane)
+            name = self._top_customer(lane)
             if name is not None and self._customers[name].counter < counter:
                 chosen, counter = (name, lane), self._customers[name].counter
         if chosen is None:
@@ -165,7 +165,7 @@
             return None
         ticket = entry[0]
         state = self._customers[ticket.customer]
-        self._uncount(ticket, state)
+        self._remove_from_totals(ticket, state)
         self._deactivate(ticket.customer, state)
         return ticket
 
@@ -186,7 +186,7 @@
         state = self._customers[ticket.customer]
         state.n_in_flight -= 1
         state.counter += (tokens - ticket.expected_tokens) / ticket.weight
-        self._place_waiting(ticket.customer, state)
+        self._push_waiting_customer(ticket.customer, state)
         self._deactivate(ticket.customer, state)
 
     def tokens_ahead(self, ticket: Ticket) -> float:
@@ -201,7 +201,7 @@
             if urgency >= ticket.urgency
         )
 
-    def entries_ahead(self, ticket: Ticket) -> int:
+    def first_calls_ahead(self, ticket: Ticket) -> int:
         """Return the customer's waiting first calls."""
         state = self._customers.get(ticket.customer)
         return 0 if state is None else state.lanes[Lane.ENTRY].n_queued
@@ -221,13 +221,13 @@
     def _activate(self, ticket: Ticket) -> _CustomerState:
         state = self._customers.get(ticket.customer)
         if state is None:
-            state = _CustomerState(counter=self._virtual_now)
+            state = _CustomerState(counter=self._virtual_tokens)
             self._customers[ticket.customer] = state
         if not state.is_active:
             state.weight = ticket.weight
             self.active_weight += ticket.weight
         if state.n_queued == 0:
-            state.counter = max(state.counter, self._virtual_now)
+            state.counter = max(state.counter, self._virtual_tokens)
         return state
 
     def _deactivate(self, name: str, state: _CustomerState) -> None:
@@ -238,26 +238,26 @@
         self._forget_idle()
 
     def _forget_idle(self) -> None:
-        while self._idle and self._idle[0][0] <= self._virtual_now:
+        while self._idle and self._idle[0][0] <= self._virtual_tokens:
             _, name = heapq.heappop(self._idle)
             state = self._customers.get(name)
             if state is None or state.is_active:
                 continue
-            if state.counter <= self._virtual_now:
+            if state.counter <= self._virtual_tokens:
                 del self._customers[name]
 
-    def _place_waiting(self, name: str, state: _CustomerState) -> None:
+    def _push_waiting_customer(self, name: str, state: _CustomerState) -> None:
         for lane in Lane:
             if state.lanes[lane].n_queued:
-                self._place(name, state, lane)
+                self._push_customer(name, state, lane)
 
-    def _place(self, name: str, state: _CustomerState, lane: Lane) -> None:
+    def _push_customer(self, name: str, state: _CustomerState, lane: Lane) -> None:
         stamp = next(self._sequence)
         state.lanes[lane].stamp = stamp
-        heapq.heappush(self._order[lane], (state.counter, stamp, name))
+        heapq.heappush(self._customer_heaps[lane], (state.counter, stamp, name))
 
-    def _top(self, lane: Lane) -> str | None:
-        order = self._order[lane]
+    def _top_customer(self, lane: Lane) -> str | None:
+        order = self._customer_heaps[lane]
         while order:
             _, stamp, name = order[0]
             state = self._customers.get(name)
@@ -280,26 +280,26 @@
         self._skip_stale(state.lanes[lane])
         _, _, ticket_id = heapq.heappop(state.lanes[lane].calls)
         ticket = self._tickets.pop(ticket_id)[0]
-        self._uncount(ticket, state)
+        self._remove_from_totals(ticket, state)
         return ticket
 
-    def _uncount(self, ticket: Ticket, state: _CustomerState) -> None:
+    def _remove_from_totals(self, ticket: Ticket, state: _CustomerState) -> None:
         lane = state.lanes[lane_of(ticket)]
         lane.n_queued -= 1
         lane.tokens[ticket.urgency] -= ticket.expected_tokens
-        self._n_entering -= lane_of(ticket)
+        self._n_waiting_first_calls -= lane_of(ticket)
         if lane.n_queued == 0:
             lane.tokens.clear()
             lane.calls.clear()
 
     def _charge(self, ticket: Ticket, state: _CustomerState) -> None:
-        self._virtual_now = max(self._virtual_now, state.counter)
+        self._virtual_tokens = max(self._virtual_tokens, state.counter)
         state.n_in_flight += 1
         state.counter += ticket.expected_tokens / ticket.weight
-        self._place_waiting(ticket.customer, state)
+        self._push_waiting_customer(ticket.customer, state)
         self._forget_idle()
 
 
 def lane_of(ticket: Ticket) -> Lane:
     """Return the lane in which a call waits."""
-    return Lane.ENTRY if ticket.enters else Lane.READY
+    return Lane.ENTRY if ticket.may_be_held_back else Lane.READY
--- a/packages/swifttide_core/src/swifttide_core/admission/_profile_estimates.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_profile_estimates.py
@@ -34,12 +34,12 @@
 
     def observe_output(self, profile: str, tokens: float) -> None:
         """Learn from an answer of `tokens`."""
-        _move(self._output, profile, tokens, OUTPUT_WEIGHT)
+        _update_mean(self._output, profile, tokens, OUTPUT_WEIGHT)
 
     def observe_program(self, profile: str, tokens: float, seconds: float) -> None:
         """Learn from a program that ended with `tokens` of history after `seconds`."""
-        _move(self._context, profile, tokens, PROGRAM_WEIGHT)
-        _move(self._seconds, profile, seconds, PROGRAM_WEIGHT)
+        _update_mean(self._context, profile, tokens, PROGRAM_WEIGHT)
+        _update_mean(self._seconds, profile, seconds, PROGRAM_WEIGHT)
 
     def output_tokens(self, profile: str) -> float:
         """Return the tokens that an answer is expected to have."""
@@ -54,6 +54,8 @@
         return self._seconds.get(profile, 0.0)
 
 
-def _move(means: dict[str, float], profile: str, value: float, weight: float) -> None:
+def _update_mean(
+    means: dict[str, float], profile: str, value: float, weight: float
+) -> None:
     seen = means.get(profile, value)
     means[profile] = seen + weight * (value - seen)
--- a/packages/swifttide_core/src/swifttide_core/admission/_program_gate.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_program_gate.py
@@ -21,7 +21,7 @@
 
 import xxhash
 
-TARGET_LOAD = 1.0
+SETPOINT_LOAD = 1.0
 """Requests under way for each place at which the share stays as it is: with fewer,
 targets idle between turns; with more, turns wait in the targets' queues."""
 
@@ -37,13 +37,13 @@
 but on idle targets. Programs let in now fill places for seconds: a faster share would
 swing between too many and too few, and more so the more is asked for."""
 
-MAX_ERROR = 1.0
+MAX_LOAD_ERROR = 1.0
 """Bounds the load's distance from its aim, so that one look decides little."""
 
-MIN_SHARE = 0.03
+MIN_ADMITTED_FRACTION = 0.03
 """Some always get in: what targets bear must be found out again."""
 
-LOOK_SECONDS = 0.1
+UPDATE_INTERVAL_SECONDS = 0.1
 """Between two looks at the load; counts of other hosts come five times a second."""
 
 MAX_STEP_SECONDS = 0.5
@@ -59,12 +59,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entered:
+class ProgramAdmitted:
     """The program may begin."""
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class ProgramRefused:
     """The program has not begun.
 
     Parameters
@@ -84,19 +84,22 @@
     """
 
     def __init__(self):
-        self._share = 1.0
-        self._looked_at: float | None = None
+        self._admitted_fraction = 1.0
+        self._updated_at: float | None = None
 
     @property
-    def share(self) -> float:
+    def admitted_fraction(self) -> float:
         """Part of the new programs that is let in."""
-        return self._share
+        return self._admitted_fraction
 
-    def wants_look(self, now: float) -> bool:
+    def needs_update(self, now: float) -> bool:
         """Whether the load should be told again; ``now`` in monotonic seconds."""
-        return self._looked_at is None or now - self._looked_at >= LOOK_SECONDS
+        return (
+            self._updated_at is None
+            or now - self._updated_at >= UPDATE_INTERVAL_SECONDS
+        )
 
-    def look(self, now: float, load: float) -> None:
+    def update_load(self, now: float, load: float) -> None:
         """Follow the load.
 
         Parameters
@@ -105,15 +108,15 @@
             Monotonic seconds.
         load : float
         """
-        if self._looked_at is not None:
-            seconds = min(MAX_STEP_SECONDS, max(0.0, now - self._looked_at))
-            error = max(-MAX_ERROR, min(MAX_ERROR, TARGET_LOAD - load))
-            scale = 1.0 if load < IDLE_LOAD else self._share
-            share = self._share + GAIN_PER_SECOND * seconds * error * scale
-            self._share = min(1.0, max(MIN_SHARE, share))
-        self._looked_at = now
-
-    def ask(self, load: float, program: str) -> Entered | TurnedAway:
+        if self._updated_at is not None:
+            seconds = min(MAX_STEP_SECONDS, max(0.0, now - self._updated_at))
+            error = max(-MAX_LOAD_ERROR, min(MAX_LOAD_ERROR, SETPOINT_LOAD - load))
+            scale = 1.0 if load < IDLE_LOAD else self._admitted_fraction
+            share = self._admitted_fraction + GAIN_PER_SECOND * seconds * error * scale
+            self._admitted_fraction = min(1.0, max(MIN_ADMITTED_FRACTION, share))
+        self._updated_at = now
+
+    def decide(self, load: float, program: str) -> ProgramAdmitted | ProgramRefused:
         """Let a new program in or turn it away.
 
         Parameters
@@ -123,8 +126,8 @@
             Key of the program, the same at all hosts.
         """
         rank = xxhash.xxh3_64_intdigest(program.encode()) / HASH_RANGE
-        if rank >= self._share:
-            return TurnedAway(MAX_RETRY_SECONDS)
+        if rank >= self._admitted_fraction:
+            return ProgramRefused(MAX_RETRY_SECONDS)
         if load >= MAX_LOAD:
-            return TurnedAway(MIN_RETRY_SECONDS)
-        return Entered()
+            return ProgramRefused(MIN_RETRY_SECONDS)
+        return ProgramAdmitted()
--- a/packages/swifttide_core/src/swifttide_core/admission/_return_schedule.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_retry_schedule.py
@@ -10,7 +10,7 @@
 """
 
 
-class ReturnSchedule:
+class RetrySchedule:
     """Next free time to come back, for each customer.
 
     Parameters
@@ -25,7 +25,7 @@
         self._longest = longest
         self._next_at: dict[str, float] = {}
 
-    def promise(
+    def reserve(
         self, now: float, customer: str, wait_seconds: float, spacing_seconds: float
     ) -> float:
         """Return seconds until the caller should come back.
@@ -47,7 +47,7 @@
         self._next_at[customer] = at + spacing_seconds
         return at - now
 
-    def forget_past(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Drop customers whose promises lie in the past."""
         past = [name for name, at in self._next_at.items() if at <= now]
         for name in past:
--- a/packages/swifttide_core/src/swifttide_core/admission/_target_queue.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_target_queue.py
@@ -28,7 +28,7 @@
 from swifttide_core.admission._fair_queue import FairQueue
 from swifttide_core.admission._load_report import LoadReport
 from swifttide_core.admission._outcome import Outcome, OutcomeStatus
-from swifttide_core.admission._return_schedule import ReturnSchedule
+from swifttide_core.admission._retry_schedule import RetrySchedule
 from swifttide_core.admission._snapshot import QueueSnapshot
 from swifttide_core.admission._ticket import Ticket, check_ticket
 from swifttide_core.admission._working_set import WorkingSet
@@ -37,7 +37,7 @@
 ENTRY_WINDOW_SECONDS = 60.0
 """Time constant of the rate at which new programs enter; some stays of a program."""
 
-HEAP_SLACK = 64
+MAX_STALE_HEAP_ENTRIES = 64
 """Entries out of date that a heap may hold beside twice the current ones."""
 
 
@@ -77,11 +77,15 @@
         self._grants: dict[str, _Grant] = {}
         self._expiries: list[tuple[float, str]] = []
         self._latest_starts: list[tuple[float, str]] = []
-        self._returns = ReturnSchedule(cfg.min_retry_seconds, cfg.max_retry_seconds)
+        self._retry_schedule = RetrySchedule(
+            cfg.min_retry_seconds, cfg.max_retry_seconds
+        )
         self._working_set = WorkingSet(
             cfg.working_set_fill, cfg.idle_program_seconds, cfg.initial_stay_seconds
         )
-        self._entries = DrainRate(ENTRY_WINDOW_SECONDS, cfg.initial_stay_seconds)
+        self._program_entry_rate = DrainRate(
+            ENTRY_WINDOW_SECONDS, cfg.initial_stay_seconds
+        )
         self._leaving = False
 
     @classmethod
@@ -119,14 +123,14 @@
         """
         check_ticket(ticket)
         self._observe(now)
-        known = self._known(ticket)
+        known = self._existing_decision(ticket)
         if known is not None:
             return known
         if self._leaving:
             return self._refuse_leaving(ticket)
-        if self._may_start(ticket):
+        if self._may_start_now(ticket):
             self._queue.start(ticket)
-            return self._grant(now, ticket)
+            return self._grant_call(now, ticket)
         wait = self._expected_wait(ticket)
         if wait > self._longest_wait(now, ticket):
             return self._refuse_full(now, ticket, wait)
@@ -152,15 +156,15 @@
         self._observe(now)
         grant = self._grants.pop(ticket_id, None)
         if grant is None:
-            return self._settle(now)
+            return self._process_changes(now)
         saturated = len(self._grants) + 1 >= self._limit.value
         tokens = self._charged_tokens(grant.ticket, outcome)
         self._queue.finish(grant.ticket, tokens)
-        self._limit.released(now, outcome, saturated)
+        self._limit.observe_release(now, outcome, saturated)
         if outcome.status is OutcomeStatus.FINISHED:
             seconds = now - grant.granted_at
-            self._drain.released(len(self._queue) > 0, seconds, tokens)
-        return self._settle(now)
+            self._drain.observe_release(len(self._queue) > 0, seconds, tokens)
+        return self._process_changes(now)
 
     def renew(self, now: float, ticket: Ticket) -> Admitted:
         """Prolong the lease of a grant whose stream still runs.
@@ -179,8 +183,8 @@
         if known is None:
             self._queue.withdraw(ticket.ticket_id)
             self._queue.start(ticket)
-            return self._grant(now, ticket)
-        return self._hold(known.ticket, known.granted_at, now)
+            return self._grant_call(now, ticket)
+        return self._store_grant(known.ticket, known.granted_at, now)
 
     def withdraw(self, now: float, ticket_id: str) -> tuple[Decision, ...]:
         """Forget a call whose caller is gone; a running one counts as cancelled."""
@@ -188,7 +192,7 @@
             return self.release(now, ticket_id, Outcome(OutcomeStatus.CANCELLED))
         self._observe(now)
         self._queue.withdraw(ticket_id)
-        return self._settle(now)
+        return self._process_changes(now)
 
     def end_program(self, now: float, program: str) -> tuple[Decision, ...]:
         """Give a program's room at the target to those that wait to start.
@@ -201,16 +205,16 @@
             One that ended, moved to another target or whose cache was released.
         """
         self._observe(now)
-        self._working_set.end(now, program)
-        return self._settle(now)
+        self._working_set.remove(now, program)
+        return self._process_changes(now)
 
     def report_load(self, now: float, report: LoadReport) -> tuple[Decision, ...]:
         """Learn from the engine's late load report."""
         self._observe(now)
         if report.cache_capacity_tokens > 0:
             self._working_set.set_capacity(report.cache_capacity_tokens)
-        self._limit.reported(now, report)
-        return self._settle(now)
+        self._limit.observe_load(now, report)
+        return self._process_changes(now)
 
     def tick(self, now: float) -> tuple[Decision, ...]:
         """Expire grants, refuse what can't meet its deadline, admit what fits.
@@ -220,9 +224,9 @@
         To be called about once a second.
         """
         self._observe(now)
-        self._returns.forget_past(now)
-        self._working_set.forget_idle(now)
-        return self._settle(now)
+        self._retry_schedule.remove_expired(now)
+        self._working_set.remove_idle(now)
+        return self._process_changes(now)
 
     def set_max_concurrency(
         self, now: float, max_concurrency: int
@@ -230,7 +234,7 @@
         """Take over an edited upper bound of the limit."""
         self._observe(now)
         self._limit.set_max(max_concurrency)
-        return self._settle(now)
+        return self._process_changes(now)
 
     def set_leaving(self, now: float, leaving: bool = True) -> tuple[Decision, ...]:
         """Refuse all waiting and later calls, which may go to another target.
@@ -262,19 +266,19 @@
             measured_at=now,
             running=len(self._grants),
             queued=len(self._queue),
-            entering=self._queue.n_entering,
+            entering=self._queue.n_waiting_first_calls,
             limit=self._limit.value,
             drain_per_second=self.drain_rate(now),
             service_seconds=self._drain.service_seconds,
-            entry_wait_seconds=self._entry_wait(self._queue.n_entering),
+            entry_wait_seconds=self._entry_wait(self._queue.n_waiting_first_calls),
             leaving=self._leaving,
         )
 
     def _observe(self, now: float) -> None:
         self._drain.observe(now, len(self._queue) > 0)
-        self._entries.observe(now, self._queue.n_entering > 0)
+        self._program_entry_rate.observe(now, self._queue.n_waiting_first_calls > 0)
 
-    def _known(self, ticket: Ticket) -> Admitted | Queued | None:
+    def _existing_decision(self, ticket: Ticket) -> Admitted | Queued | None:
         grant = self._grants.get(ticket.ticket_id)
         if grant is not None:
             return Admitted(ticket.ticket_id, grant.expires_at)
@@ -282,50 +286,54 @@
             return Queued(ticket.ticket_id, self._expected_wait(ticket))
         return None
 
-    def _settle(self, now: float) -> tuple[Decision, ...]:
+    def _process_changes(self, now: float) -> tuple[Decision, ...]:
         self._expire_grants(now)
-        decisions: list[Decision] = self._refuse_late(now)
+        decisions: list[Decision] = self._refuse_past_deadline(now)
         while len(self._grants) < self._limit.value:
-            ticket = self._queue.pop(entry_allowed=self._entry_allowed())
+            ticket = self._queue.pop(entry_allowed=self._may_next_program_enter())
             if ticket is None:
                 break
-            decisions.append(self._grant(now, ticket))
+            decisions.append(self._grant_call(now, ticket))
         return tuple(decisions)
 
-    def _may_start(self, ticket: Ticket) -> bool:
+    def _may_start_now(self, ticket: Ticket) -> bool:
         if len(self._grants) >= self._limit.value:
             return False
-        if not ticket.enters:
-            return len(self._queue) == self._queue.n_entering
-        return len(self._queue) == 0 and self._may_enter(ticket)
+        if not ticket.may_be_held_back:
+            return len(self._queue) == self._queue.n_waiting_first_calls
+        return len(self._queue) == 0 and self._has_room_for_program(ticket)
 
-    def _entry_allowed(self) -> bool:
-        ticket = self._queue.peek_entry()
-        return ticket is not None and self._may_enter(ticket)
+    def _may_next_program_enter(self) -> bool:
+        ticket = self._queue.peek_first_call()
+        return ticket is not None and self._has_room_for_program(ticket)
 
-    def _may_enter(self, ticket: Ticket) -> bool:
-        return self._is_spare() or self._working_set.has_room(ticket.final_tokens)
+    def _has_room_for_program(self, ticket: Ticket) -> bool:
+        return self._is_mostly_idle() or self._working_set.has_room(
+            ticket.final_context_tokens
+        )
 
-    def _is_spare(self) -> bool:
+    def _is_mostly_idle(self) -> bool:
         return len(self._grants) < self._cfg.spare_fraction * self._limit.value
 
-    def _grant(self, now: float, ticket: Ticket) -> Admitted:
+    def _grant_call(self, now: float, ticket: Ticket) -> Admitted:
         if not ticket.under_way:
-            self._entries.entered(self._queue.n_entering > 0)
+            self._program_entry_rate.observe_entry(
+                self._queue.n_waiting_first_calls > 0
+            )
         if ticket.context_tokens > 0:
-            self._working_set.hold(
+            self._working_set.set_history(
                 now,
                 ticket.program,
                 ticket.context_tokens,
                 ticket.expected_context_tokens,
             )
-        return self._hold(ticket, now, now)
+        return self._store_grant(ticket, now, now)
 
-    def _hold(self, ticket: Ticket, granted_at: float, now: float) -> Admitted:
+    def _store_grant(self, ticket: Ticket, granted_at: float, now: float) -> Admitted:
         expires_at = now + self._cfg.lease_seconds
         self._grants[ticket.ticket_id] = _Grant(ticket, granted_at, expires_at)
         heapq.heappush(self._expiries, (expires_at, ticket.ticket_id))
-        if len(self._expiries) > 2 * len(self._grants) + HEAP_SLACK:
+        if len(self._expiries) > 2 * len(self._grants) + MAX_STALE_HEAP_ENTRIES:
             self._expiries = [(g.expires_at, i) for i, g in self._grants.items()]
             heapq.heapify(self._expiries)
         return Admitted(ticket.ticket_id, expires_at)
@@ -342,7 +350,7 @@
             del self._grants[ticket_id]
             self._queue.finish(grant.ticket, grant.ticket.expected_tokens)
 
-    def _refuse_late(self, now: float) -> list[Decision]:
+    def _refuse_past_deadline(self, now: float) -> list[Decision]:
         decisions: list[Decision] = []
         while self._latest_starts and self._latest_starts[0][0] <= now:
             _, ticket_id = heapq.heappop(self._latest_starts)
@@ -357,7 +365,7 @@
         # of the last minutes.
         entry = (self._latest_start(ticket), ticket.ticket_id)
         heapq.heappush(self._latest_starts, entry)
-        if len(self._latest_starts) > 2 * len(self._queue) + HEAP_SLACK:
+        if len(self._latest_starts) > 2 * len(self._queue) + MAX_STALE_HEAP_ENTRIES:
             self._latest_starts = [
                 e for e in self._latest_starts if e[1] in self._queue
             ]
@@ -379,27 +387,29 @@
     def _expected_wait(self, ticket: Ticket) -> float:
         ahead = self._queue.tokens_ahead(ticket)
         first = self._drain.service_seconds / self._limit.value
-        wait = ahead / self._own_rate(ticket) + first
-        if ticket.under_way or not ticket.enters:
+        wait = ahead / self._customer_tokens_per_second(ticket) + first
+        if ticket.under_way or not ticket.may_be_held_back:
             return wait
-        n_ahead = self._queue.entries_ahead(ticket)
+        n_ahead = self._queue.first_calls_ahead(ticket)
         return max(wait, self._entry_wait(n_ahead / self._queue.share(ticket)))
 
     def _entry_wait(self, n_ahead: float) -> float:
-        if not self._working_set.bounded:
+        if not self._working_set.is_capacity_known:
             return 0.0
-        if n_ahead == 0 and (self._is_spare() or self._working_set.has_room(0.0)):
+        if n_ahead == 0 and (self._is_mostly_idle() or self._working_set.has_room(0.0)):
             return 0.0
-        self._entries.set_service_seconds(self._working_set.stay_seconds)
-        return (n_ahead + 1) / self._entries.per_second(self._working_set.n_places)
+        self._program_entry_rate.set_service_seconds(self._working_set.stay_seconds)
+        return (n_ahead + 1) / self._program_entry_rate.per_second(
+            self._working_set.program_capacity
+        )
 
     def _entry_spacing(self, ticket: Ticket) -> float:
-        if not self._working_set.bounded:
+        if not self._working_set.is_capacity_known:
             return 0.0
-        rate = self._entries.per_second(self._working_set.n_places)
+        rate = self._program_entry_rate.per_second(self._working_set.program_capacity)
         return 1.0 / (rate * self._queue.share(ticket))
 
-    def _own_rate(self, ticket: Ticket) -> float:
+    def _customer_tokens_per_second(self, ticket: Ticket) -> float:
         rate = self._drain.tokens_per_second(self._limit.value, ticket.expected_tokens)
         return rate * self._queue.share(ticket)
 
@@ -412,10 +422,10 @@
         return ticket.expected_tokens
 
     def _retry_after(self, now: float, ticket: Ticket, wait: float) -> float:
-        spacing = ticket.expected_tokens / self._own_rate(ticket)
-        if ticket.enters:
+        spacing = ticket.expected_tokens / self._customer_tokens_per_second(ticket)
+        if ticket.may_be_held_back:
             spacing = max(spacing, self._entry_spacing(ticket))
-        return self._returns.promise(now, ticket.customer, wait, spacing)
+        return self._retry_schedule.reserve(now, ticket.customer, wait, spacing)
 
     def _refuse_full(self, now: float, ticket: Ticket, wait: float) -> Refused:
         excess = wait - self._longest_wait(now, ticket)
--- a/packages/swifttide_core/src/swifttide_core/admission/_target_pace.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_target_rate_limiter.py
@@ -18,29 +18,29 @@
 WINDOW_SECONDS = 1.0
 """Span over which requests are counted."""
 
-MAX_KNOWN = 1_024
+MAX_RECORDED_REQUESTS = 1_024
 """Requests remembered for each target, 8 KB."""
 
-COLD_PART = 0.7
+COLD_SCHEDULER_FRACTION = 0.7
 """Part of the rate that a cold target bears that one keeper uses: two keepers at once,
 and the shares of hosts without one, then stay within the bound together."""
 
-WARM_PART = 0.66
+WARM_SCHEDULER_FRACTION = 0.66
 """Part of the bound that a target gets which isn't known to be cold: new keepers and
 hosts that find none send beyond it."""
 
-NEW_PART = 0.25
+NEW_SCHEDULER_FRACTION = 0.25
 """Part of its pace that a host uses which hasn't been the keeper for long."""
 
-STANDIN_PART = 0.05
+SUBSTITUTES_FRACTION = 0.05
 """Part that all hosts use together which are asked in the keeper's place."""
 
-ALONE_PART = 0.08
+UNSCHEDULED_FRACTION = 0.08
 """Part of the bound that all hosts without a keeper use together."""
 
 
 @dataclass(frozen=True, slots=True)
-class KeeperStanding:
+class SchedulerStanding:
     """How sure a host is that no other keeps the same order.
 
     Parameters
@@ -49,26 +49,26 @@
         Part of a target's pace that it uses.
     """
 
-    part: float
+    fraction: float
 
     @classmethod
-    def settled(cls) -> "KeeperStanding":
+    def established(cls) -> "SchedulerStanding":
         """Return that of a host which has been the keeper for a while."""
         return cls(1.0)
 
     @classmethod
-    def new(cls) -> "KeeperStanding":
+    def newly_elected(cls) -> "SchedulerStanding":
         """Return that of a host whose predecessor may still place requests."""
-        return cls(NEW_PART)
+        return cls(NEW_SCHEDULER_FRACTION)
 
     @classmethod
-    def standin(cls, n_hosts: int) -> "KeeperStanding":
+    def substitute(cls, n_hosts: int) -> "SchedulerStanding":
         """Return that of one of several hosts asked in the keeper's place."""
-        return cls(STANDIN_PART / max(1, n_hosts))
+        return cls(SUBSTITUTES_FRACTION / max(1, n_hosts))
 
 
 @dataclass(frozen=True, slots=True)
-class ColdTerms:
+class ColdTargetLimits:
     """What a cold target of a service bears.
 
     Parameters
@@ -79,16 +79,16 @@
         Bound on the requests that reach it in any second, from all hosts.
     """
 
-    bears_per_second: float = 0.0
-    most_per_second: float = 0.0
+    cold_requests_per_second: float = 0.0
+    max_requests_per_second: float = 0.0
 
     @property
-    def binds(self) -> bool:
+    def is_limited(self) -> bool:
         """Whether there is anything to keep to."""
-        return self.bears_per_second > 0.0
+        return self.cold_requests_per_second > 0.0
 
-    def keeper_limit(
-        self, is_cold: bool, standing: "KeeperStanding", heard_part: float
+    def scheduler_limit(
+        self, is_cold: bool, standing: "SchedulerStanding", heard_fraction: float
     ) -> float:
         """Return the requests a second that a keeper may send to a target.
 
@@ -100,15 +100,22 @@
             Part of all hosts that the keeper hears: others may have another keeper.
         """
         if is_cold:
-            return COLD_PART * self.bears_per_second * heard_part * standing.part
-        return WARM_PART * self.most_per_second * standing.part
-
-    def host_limit(self, n_hosts: int) -> float:
+            return (
+                COLD_SCHEDULER_FRACTION
+                * self.cold_requests_per_second
+                * heard_fraction
+                * standing.fraction
+            )
+        return (
+            WARM_SCHEDULER_FRACTION * self.max_requests_per_second * standing.fraction
+        )
+
+    def unscheduled_host_limit(self, n_hosts: int) -> float:
         """Return the requests a second that a host without a keeper may send."""
-        return ALONE_PART * self.most_per_second / max(1, n_hosts)
+        return UNSCHEDULED_FRACTION * self.max_requests_per_second / max(1, n_hosts)
 
 
-class TargetPace:
+class TargetRateLimiter:
     """Counts what was sent to each target of late.
 
     Times are monotonic seconds.
@@ -117,11 +124,11 @@
     def __init__(self):
         self._sent: dict[str, deque[float]] = {}
 
-    def note(self, target: str, now: float) -> None:
+    def record(self, target: str, now: float) -> None:
         """Count a request."""
         sent = self._sent.get(target)
         if sent is None:
-            sent = self._sent[target] = deque(maxlen=MAX_KNOWN)
+            sent = self._sent[target] = deque(maxlen=MAX_RECORDED_REQUESTS)
         sent.append(now)
 
     def forget(self, target: str) -> None:
@@ -141,7 +148,7 @@
         if limit <= 0.0:
             return math.inf
         span = max(WINDOW_SECONDS, 1.0 / limit)
-        most = min(MAX_KNOWN, max(1, int(limit)))
+        most = min(MAX_RECORDED_REQUESTS, max(1, int(limit)))
         sent = self._sent.get(target)
         if not sent or len(sent) < most:
             return 0.0
@@ -149,7 +156,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Paced:
+class ReadyTargets:
     """Targets that may get a request now.
 
     Parameters
@@ -163,8 +170,10 @@
     wait_seconds: float
 
     @classmethod
-    def of(cls, pace: TargetPace, limits: Mapping[str, float], now: float) -> "Paced":
+    def within_limits(
+        cls, limiter: TargetRateLimiter, limits: Mapping[str, float], now: float
+    ) -> "ReadyTargets":
         """Return which targets may get a request within their limits."""
-        waits = {t: pace.wait_seconds(t, limit, now) for t, limit in limits.items()}
+        waits = {t: limiter.wait_seconds(t, limit, now) for t, limit in limits.items()}
         ready = tuple(t for t, seconds in waits.items() if seconds <= 0.0)
         return cls(ready, min(waits.values(), default=0.0))
--- a/packages/swifttide_core/src/swifttide_core/admission/_ticket.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_ticket.py
@@ -56,12 +56,12 @@
     new_history: bool = False
 
     @property
-    def final_tokens(self) -> float:
+    def final_context_tokens(self) -> float:
         """Memory that the program will need in the end, as far as known."""
         return max(self.context_tokens, self.expected_context_tokens)
 
     @property
-    def enters(self) -> bool:
+    def may_be_held_back(self) -> bool:
         """Whether it may be held back until the target has room for its program."""
         return self.urgency <= 0 and (self.new_history or not self.under_way)
 
--- a/packages/swifttide_core/src/swifttide_core/admission/_turn_order.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_turn_scheduler.py
@@ -21,38 +21,41 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
+from swifttide_core.admission._outstanding_turn_bound import OutstandingTurnBound
 from swifttide_core.admission._program_gate import (
     MAX_RETRY_SECONDS,
     MIN_RETRY_SECONDS,
-    Entered,
-    TurnedAway,
+    ProgramAdmitted,
+    ProgramRefused,
+)
+from swifttide_core.admission._target_latencies import TargetLatencies
+from swifttide_core.admission._target_rate_limiter import (
+    ReadyTargets,
+    TargetRateLimiter,
 )
-from swifttide_core.admission._target_pace import Paced, TargetPace
-from swifttide_core.admission._target_speeds import TargetSpeeds
-from swifttide_core.admission._turn_bound import TurnBound
 from swifttide_core.forwarding import Candidate, TargetEntry, choose_target
 
-LATE_PART = 0.25
+MAX_ENTRY_DELAY_FRACTION = 0.25
 """Part of a program's time that may pass until it is let in: its aim leaves about a
 third of it for all waiting on the way."""
 
-ENTRY_SECONDS = 0.5
+ENTRY_HOLD_SECONDS = 0.5
 """A program that was let in counts as a turn for so long, if none comes."""
 
-KNOWN_SECONDS = 10.0
+PROGRAM_RETENTION_SECONDS = 10.0
 """Programs are remembered for so long after their last turn."""
 
 MAX_PROGRAMS = 20_000
 """Programs that are remembered, some 200 bytes each."""
 
-SETTLE_SECONDS = 3.0
+STARTUP_SECONDS = 3.0
 """For so long after its start an order also counts turns that others have told of."""
 
-MISSED_SECONDS = 0.6
+RECONCILE_MIN_AGE_SECONDS = 0.6
 """A turn that its host no longer tells of has ended; a younger one may not have been
 sent when it told."""
 
-CALM_PART = 0.35
+LOW_LOAD_FRACTION = 0.35
 """Part of the places below which turns don't hold each other up."""
 
 
@@ -74,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceQuestion:
+class PlacementRequest:
     """A turn that is to be sent.
 
     Parameters
@@ -97,14 +100,14 @@
     turn: TurnId
     program: str
     zone: str
-    subject: str
-    last: str
-    seconds: float
-    connected: frozenset[str] = frozenset()
+    prompt_prefix: str
+    previous_target: str
+    remaining_seconds: float
+    connected_targets: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceLater:
+class PlacementDeferred:
     """All targets have had what they may get in this second.
 
     Parameters
@@ -113,24 +116,24 @@
         Until one may get more.
     """
 
-    seconds: float
+    retry_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Sent:
+class _PlacedTurn:
     placed_at: float
-    until: float
-    is_calm: bool
+    expires_at: float
+    is_low_load: bool
 
 
 @dataclass(slots=True)
-class _Program:
-    seconds: float
-    seen_at: float
-    is_in: bool = False
+class _KnownProgram:
+    max_remaining_seconds: float
+    last_seen_at: float
+    is_admitted: bool = False
 
 
-class TurnOrder:
+class TurnScheduler:
     """Places the turns of one service.
 
     Parameters
@@ -142,25 +145,25 @@
     """
 
     def __init__(self, now: float, told: Callable[[str], float]):
-        self._began = now
-        self._told = told
-        self._turns: dict[str, dict[TurnId, _Sent]] = {}
-        self._programs: OrderedDict[str, _Program] = OrderedDict()
-        self._speeds = TargetSpeeds()
-        self._pace = TargetPace()
-        self._entering: dict[str, float] = {}
-        self._bound = TurnBound()
-        self._is_full = False
-
-    def enter(
+        self._started_at = now
+        self._reported_outstanding = told
+        self._turns: dict[str, dict[TurnId, _PlacedTurn]] = {}
+        self._programs: OrderedDict[str, _KnownProgram] = OrderedDict()
+        self._latencies = TargetLatencies()
+        self._rate_limiter = TargetRateLimiter()
+        self._entering_until: dict[str, float] = {}
+        self._bound = OutstandingTurnBound()
+        self._is_bound_reached = False
+
+    def admit_program(
         self,
         program: str,
         seconds: float | None,
         targets: Iterable[str],
-        places: int,
+        capacity: int,
         now: float,
         limits: Mapping[str, float] | None = None,
-    ) -> Entered | TurnedAway:
+    ) -> ProgramAdmitted | ProgramRefused:
         """Let a new program in, or turn it away.
 
         Parameters
@@ -176,62 +179,79 @@
         limits : mapping of str to float, optional
             Requests a second that each target may get.
         """
-        known = self._know(program, seconds or 0.0, now)
-        if known.is_in:
-            return Entered()
-        if seconds and known.seconds - seconds > LATE_PART * known.seconds:
-            return TurnedAway(MAX_RETRY_SECONDS)
-        self._is_full = self.load(targets, now) >= self._bound.part * places
-        if self._is_full or not self._has_pace(limits, now):
-            return TurnedAway(MIN_RETRY_SECONDS)
-        known.is_in = True
-        self._entering[program] = now + ENTRY_SECONDS
-        return Entered()
-
-    def place(
+        known = self._remember_program(program, seconds or 0.0, now)
+        if known.is_admitted:
+            return ProgramAdmitted()
+        if (
+            seconds
+            and known.max_remaining_seconds - seconds
+            > MAX_ENTRY_DELAY_FRACTION * known.max_remaining_seconds
+        ):
+            return ProgramRefused(MAX_RETRY_SECONDS)
+        self._is_bound_reached = (
+            self.load(targets, now) >= self._bound.fraction * capacity
+        )
+        if self._is_bound_reached or not self._any_target_ready(limits, now):
+            return ProgramRefused(MIN_RETRY_SECONDS)
+        known.is_admitted = True
+        self._entering_until[program] = now + ENTRY_HOLD_SECONDS
+        return ProgramAdmitted()
+
+    def place_turn(
         self,
-        question: PlaceQuestion,
+        request: PlacementRequest,
         targets: Iterable[TargetEntry],
         now: float,
         limits: Mapping[str, float] | None = None,
-    ) -> TargetEntry | PlaceLater | None:
+    ) -> TargetEntry | PlacementDeferred | None:
         """Return the target that a turn goes to, None without any.
 
         Parameters
         ----------
-        question : PlaceQuestion
+        request : PlaceQuestion
         targets : iterable of TargetEntry
         now : float
         limits : mapping of str to float, optional
             Requests a second that each target may get.
         """
-        if question.program:
-            self._know(question.program, 0.0, now).is_in = True
-            self._entering.pop(question.program, None)
+        if request.program:
+            self._remember_program(request.program, 0.0, now).is_admitted = True
+            self._entering_until.pop(request.program, None)
         targets = tuple(targets)
         if limits is not None and targets:
-            paced = Paced.of(self._pace, {t.id: limits[t.id] for t in targets}, now)
-            if not paced.targets:
-                return PlaceLater(paced.wait_seconds)
-            targets = tuple(t for t in targets if t.id in paced.targets)
-        typical = self._speeds.typical(now)
+            ready = ReadyTargets.within_limits(
+                self._rate_limiter, {t.id: limits[t.id] for t in targets}, now
+            )
+            if not ready.targets:
+                return PlacementDeferred(ready.wait_seconds)
+            targets = tuple(t for t in targets if t.id in ready.targets)
+        median_seconds = self._latencies.median_seconds(now)
         candidates = [
-            Candidate(t, self._cost(t, typical, now), t.id in question.connected)
+            Candidate(
+                t, self._cost(t, median_seconds, now), t.id in request.connected_targets
+            )
             for t in targets
         ]
         found = choose_target(
-            candidates, question.zone, question.subject, question.last or None
+            candidates,
+            request.zone,
+            request.prompt_prefix,
+            request.previous_target or None,
         )
         if found is not None:
             n_under_way = sum(self.outstanding(t.id, now) for t in targets)
-            is_calm = n_under_way < CALM_PART * sum(t.capacity for t in targets)
+            is_low_load = n_under_way < LOW_LOAD_FRACTION * sum(
+                t.capacity for t in targets
+            )
             turns = self._turns.setdefault(found.id, {})
-            turns[question.turn] = _Sent(now, now + question.seconds, is_calm)
+            turns[request.turn] = _PlacedTurn(
+                now, now + request.remaining_seconds, is_low_load
+            )
             if limits is not None:
-                self._pace.note(found.id, now)
+                self._rate_limiter.record(found.id, now)
         return found
 
-    def left(
+    def end_turn(
         self,
         turn: TurnId,
         target: str,
@@ -256,35 +276,36 @@
             return
         if is_whole:
             seconds = now - sent.placed_at
-            self._bound.note(seconds, sent.is_calm, self._is_full, now)
+            self._bound.observe(seconds, sent.is_low_load, self._is_bound_reached, now)
         if first_seconds is None or first_seconds < 0.0:
             return
-        self._speeds.note(target, first_seconds, now)
+        self._latencies.observe(target, first_seconds, now)
 
-    def reconcile(self, host: str, counts: dict[str, int], now: float) -> None:
+    def reconcile_host(self, host: str, counts: dict[str, int], now: float) -> None:
         """Drop turns of a host that it no longer tells of: their end was lost."""
         for target, turns in self._turns.items():
             own = [
                 (sent.placed_at, turn)
                 for turn, sent in turns.items()
-                if turn.host == host and now - sent.placed_at > MISSED_SECONDS
+                if turn.host == host
+                and now - sent.placed_at > RECONCILE_MIN_AGE_SECONDS
             ]
             surplus = len(own) - counts.get(target, 0)
             for _, turn in sorted(own, key=lambda item: item[0])[: max(0, surplus)]:
                 del turns[turn]
 
-    def forget(self, target: str) -> None:
+    def forget_target(self, target: str) -> None:
         """Drop what is known of a target that has left."""
         self._turns.pop(target, None)
-        self._speeds.forget(target)
-        self._pace.forget(target)
+        self._latencies.forget(target)
+        self._rate_limiter.forget(target)
 
     def load(self, targets: Iterable[str], now: float) -> float:
         """Return the turns at targets, and programs that are about to send one."""
-        for program, until in list(self._entering.items()):
+        for program, until in list(self._entering_until.items()):
             if until <= now:
-                del self._entering[program]
-        return len(self._entering) + sum(
+                del self._entering_until[program]
+        return len(self._entering_until) + sum(
             self.outstanding(target, now) for target in targets
         )
 
@@ -292,37 +313,41 @@
         """Return the turns at a target."""
         turns = self._turns.setdefault(target, {})
         for turn, sent in list(turns.items()):
-            if sent.until <= now:
+            if sent.expires_at <= now:
                 del turns[turn]
         count = float(len(turns))
-        if now - self._began < SETTLE_SECONDS:
-            count = max(count, self._told(target))
+        if now - self._started_at < STARTUP_SECONDS:
+            count = max(count, self._reported_outstanding(target))
         return count
 
     def slowness(self, target: str, now: float) -> float:
         """Return how many times as long as the others a target needs."""
-        return self._speeds.slowness(target, self._speeds.typical(now), now)
+        return self._latencies.slowness(
+            target, self._latencies.median_seconds(now), now
+        )
 
-    def _has_pace(self, limits, now) -> bool:
+    def _any_target_ready(self, limits, now) -> bool:
         """Whether some target may get a request now."""
-        return limits is None or bool(Paced.of(self._pace, limits, now).targets)
+        return limits is None or bool(
+            ReadyTargets.within_limits(self._rate_limiter, limits, now).targets
+        )
 
-    def _cost(self, target, typical, now) -> float:
+    def _cost(self, target, median_seconds, now) -> float:
         """Return a target's load in turns; a slow one counts as longer."""
         count = self.outstanding(target.id, now)
-        slow = self._speeds.slowness(target.id, typical, now)
-        return count * slow + target.capacity * (slow - 1.0)
+        slowness = self._latencies.slowness(target.id, median_seconds, now)
+        return count * slowness + target.capacity * (slowness - 1.0)
 
-    def _know(self, program, seconds, now) -> _Program:
+    def _remember_program(self, program, seconds, now) -> _KnownProgram:
         known = self._programs.get(program)
         if known is None:
-            known = self._programs[program] = _Program(seconds, now)
-        known.seen_at = now
-        known.seconds = max(known.seconds, seconds)
+            known = self._programs[program] = _KnownProgram(seconds, now)
+        known.last_seen_at = now
+        known.max_remaining_seconds = max(known.max_remaining_seconds, seconds)
         self._programs.move_to_end(program)
         while self._programs:
             oldest = next(iter(self._programs.values()))
-            is_old = now - oldest.seen_at > KNOWN_SECONDS
+            is_old = now - oldest.last_seen_at > PROGRAM_RETENTION_SECONDS
             if not is_old and len(self._programs) <= MAX_PROGRAMS:
                 break
             self._programs.popitem(last=False)
--- a/packages/swifttide_core/src/swifttide_core/admission/_working_set.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_working_set.py
@@ -23,11 +23,11 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _HeldHistory:
     tokens: float
-    counted: float
-    since: float
-    touched_at: float
+    reserved_tokens: float
+    first_seen_at: float
+    last_seen_at: float
 
 
 class WorkingSet:
@@ -49,24 +49,24 @@
     ) -> None:
         self._fill = fill
         self._idle_seconds = idle_seconds
-        self._held: OrderedDict[str, _Held] = OrderedDict()
-        self._counted = 0.0
+        self._histories: OrderedDict[str, _HeldHistory] = OrderedDict()
+        self._reserved_tokens = 0.0
         self._capacity = 0.0
         self._mean_tokens = 0.0
-        self._stay = initial_stay_seconds
+        self._stay_seconds = initial_stay_seconds
 
     @property
-    def bounded(self) -> bool:
+    def is_capacity_known(self) -> bool:
         """Whether the target's memory is known."""
         return self._capacity > 0
 
     @property
     def stay_seconds(self) -> float:
         """Mean time from a program's first call here to its end."""
-        return self._stay
+        return self._stay_seconds
 
     @property
-    def n_places(self) -> float:
+    def program_capacity(self) -> float:
         """Programs that fit when all have the expected length."""
         return max(1.0, self._fill * self._capacity / max(self._mean_tokens, 1.0))
 
@@ -76,11 +76,11 @@
 
     def has_room(self, tokens: float) -> bool:
         """Return whether a program of that expected length fits."""
-        if not self.bounded or not self._held:
+        if not self.is_capacity_known or not self._histories:
             return True
-        return self._counted + tokens <= self._fill * self._capacity
+        return self._reserved_tokens + tokens <= self._fill * self._capacity
 
-    def hold(
+    def set_history(
         self, now: float, program: str, tokens: float, expected_tokens: float
     ) -> None:
         """Count a program's history, at least at its expected length.
@@ -94,34 +94,36 @@
         tokens, expected_tokens : float
             Present and expected final length.
         """
-        held = self._held.get(program)
+        held = self._histories.get(program)
         if held is None:
-            held = _Held(0.0, 0.0, now, now)
-            self._held[program] = held
+            held = _HeldHistory(0.0, 0.0, now, now)
+            self._histories[program] = held
         held.tokens = tokens
-        held.touched_at = now
-        self._counted -= held.counted
-        held.counted = max(tokens, expected_tokens)
-        self._counted += held.counted
-        self._held.move_to_end(program)
+        held.last_seen_at = now
+        self._reserved_tokens -= held.reserved_tokens
+        held.reserved_tokens = max(tokens, expected_tokens)
+        self._reserved_tokens += held.reserved_tokens
+        self._histories.move_to_end(program)
 
-    def end(self, now: float, program: str) -> bool:
+    def remove(self, now: float, program: str) -> bool:
         """Forget a program that ended or left; return whether it was held."""
-        held = self._held.pop(program, None)
+        held = self._histories.pop(program, None)
         if held is None:
             return False
-        self._counted -= held.counted
-        self._stay += SMOOTHING * (now - held.since - self._stay)
+        self._reserved_tokens -= held.reserved_tokens
+        self._stay_seconds += SMOOTHING * (
+            now - held.first_seen_at - self._stay_seconds
+        )
         if self._mean_tokens == 0.0:
             self._mean_tokens = held.tokens
         self._mean_tokens += SMOOTHING * (held.tokens - self._mean_tokens)
         return True
 
-    def forget_idle(self, now: float) -> None:
+    def remove_idle(self, now: float) -> None:
         """Forget programs that were not seen for the idle time."""
-        while self._held:
-            program, held = next(iter(self._held.items()))
-            if held.touched_at + self._idle_seconds > now:
+        while self._histories:
+            program, held = next(iter(self._histories.items()))
+            if held.last_seen_at + self._idle_seconds > now:
                 return
-            del self._held[program]
-            self._counted -= held.counted
+            del self._histories[program]
+            self._reserved_tokens -= held.reserved_tokens
--- a/packages/swifttide_core/src/swifttide_core/admission/tests/test_target_queue.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/tests/test_target_queue.py
@@ -41,7 +41,7 @@
         answers = [queue.offer(0.0, make_ticket(f"t{i}")) for i in range(3)]
         assert [type(a) for a in answers] == [Admitted, Admitted, Queued]
 
-    def test_same_ticket_again_holds_one_place(self):
+    def test_repeated_offer_gets_the_same_grant(self):
         """The answer to an offer is lost and the entry host asks again. With two
         places for one call, the target would idle until the second lapsed.
         """
@@ -50,7 +50,7 @@
         assert queue.offer(0.1, make_ticket("t0")) == first
         assert queue.snapshot(0.1).running == 1
 
-    def test_refuses_at_once_what_would_wait_too_long(self):
+    def test_call_with_too_long_expected_wait_is_refused(self):
         """A burst of more calls than the target can serve. Callers beyond what it
         drains in time hear so at once, with when to come back, and nothing of
         theirs runs.
@@ -89,7 +89,7 @@
         answer = queue.offer(0.0, make_ticket("late", deadline_at=3.0))
         assert isinstance(answer, Refused)
 
-    def test_programs_under_way_wait_where_new_ones_are_refused(self):
+    def test_started_programs_wait_where_new_ones_are_refused(self):
         """Overload. If calls in the middle of programs were refused as easily as
         first calls, most programs would be cut off half way and nothing finish.
         """
@@ -102,13 +102,13 @@
         assert isinstance(later, Queued)
 
     @pytest.mark.parametrize("fields", [{"weight": 0.0}, {"expected_tokens": -1.0}])
-    def test_bad_ticket(self, fields):
+    def test_invalid_ticket_raises(self, fields):
         with pytest.raises(ValueError, match="must be"):
             make_queue().offer(0.0, make_ticket("t", **fields))
 
 
 class TestRelease:
-    def test_customers_take_turns_by_tokens(self):
+    def test_customer_with_fewest_tokens_goes_next(self):
         """One customer has fifty calls waiting when another sends its first. The
         small one goes next instead of behind the fifty.
         """
@@ -202,7 +202,7 @@
         assert queue.snapshot(11.0).limit == limit
 
 
-class TestStatefulBounds:
+class TestRandomOperations:
     @settings(derandomize=True, max_examples=60, deadline=None)
     @given(
         st.lists(
--- /dev/null
+++ b/packages/swifttide_core/src/swifttide_core/admission/tests/test_target_rate_limiter.py
@@ -0,0 +1,114 @@
+"""The limiter of targets under the load that its module names."""
+
+import math
+import random
+
+import pytest
+
+from swifttide_core.admission import (
+    ColdTargetLimits,
+    PlacementDeferred,
+    PlacementRequest,
+    ProgramRefused,
+    ReadyTargets,
+    SchedulerStanding,
+    TargetRateLimiter,
+    TurnId,
+    TurnScheduler,
+)
+from swifttide_core.forwarding import TargetEntry
+
+COLD_LIMITS = ColdTargetLimits(
+    cold_requests_per_second=20.0, max_requests_per_second=35.0
+)
+
+
+class TestTargetRateLimiter:
+    @pytest.mark.parametrize("limit", [0.25, 1.0, 7.0, 23.5])
+    def test_no_window_holds_more_than_the_limit(self, limit):
+        """Guards against requests that bunch around the end of a second."""
+        rng, limiter, now, sent = random.Random(7), TargetRateLimiter(), 0.0, []
+        while now < 60.0:
+            now += rng.expovariate(60.0)
+            if limiter.wait_seconds("t", limit, now) <= 0.0:
+                limiter.record("t", now)
+                sent.append(now)
+        span = max(1.0, 1.0 / limit)
+        for start in sent:
+            n_within = sum(start <= t < start + span for t in sent)
+            assert n_within <= max(1, int(limit))
+
+    def test_wait_lasts_until_window_has_room(self):
+        limiter = TargetRateLimiter()
+        limiter.record("t", 10.0)
+        assert limiter.wait_seconds("t", 1.0, 10.25) == 0.75
+        assert limiter.wait_seconds("t", 1.0, 11.0) == 0.0
+        assert limiter.wait_seconds("t", 0.0, 11.0) == math.inf
+
+    def test_earliest_ready_target_sets_the_wait(self):
+        limiter = TargetRateLimiter()
+        limiter.record("a", 10.0)
+        limiter.record("b", 10.5)
+        ready = ReadyTargets.within_limits(limiter, {"a": 1.0, "b": 1.0}, 10.75)
+        assert (ready.targets, ready.wait_seconds) == ((), 0.25)
+
+
+class TestColdTargetLimits:
+    def test_sum_of_concurrent_limits_stays_within_the_maximum(self):
+        """Guards against limits that are each scheduler and too much together."""
+        new, standin = (
+            SchedulerStanding.newly_elected(),
+            SchedulerStanding.substitute(12),
+        )
+        for is_cold in (True, False):
+            keepers = [SchedulerStanding.established(), *[standin] * 12]
+            sums = sum(COLD_LIMITS.scheduler_limit(is_cold, k, 1.0) for k in keepers)
+            assert (
+                sums + 90 * COLD_LIMITS.unscheduled_host_limit(90)
+                <= COLD_LIMITS.max_requests_per_second
+            )
+        successor = COLD_LIMITS.scheduler_limit(True, new, 1.0)
+        both = (
+            COLD_LIMITS.scheduler_limit(True, SchedulerStanding.established(), 1.0)
+            + successor
+        )
+        assert (
+            both + 90 * COLD_LIMITS.unscheduled_host_limit(90)
+            <= COLD_LIMITS.max_requests_per_second
+        )
+
+    def test_partitioned_schedulers_share_the_cold_rate(self):
+        """Guards against a keeper on each side of a cut that uses all of it."""
+        settled = SchedulerStanding.established()
+        whole = COLD_LIMITS.scheduler_limit(True, settled, 1.0)
+        parts = [
+            COLD_LIMITS.scheduler_limit(True, settled, part) for part in (0.25, 0.75)
+        ]
+        assert sum(parts) == pytest.approx(whole)
+
+
+class TestSchedulerWithRateLimits:
+    """An order whose targets have all had what they may get."""
+
+    def scheduler_at_limit(self):
+        found = [TargetEntry("t0", "s", "ip", 1, "a", 6)]
+        scheduler = TurnScheduler(0.0, lambda target: 0.0)
+        limits = {"t0": 2.0}
+        for number in range(2):
+            question = PlacementRequest(TurnId("h", "b", number), "", "a", "", "", 4.0)
+            assert scheduler.place_turn(question, found, 10.0, limits) is not None
+        return scheduler, found, limits
+
+    def test_deferred_turn_gets_retry_time(self):
+        scheduler, found, limits = self.scheduler_at_limit()
+        question = PlacementRequest(TurnId("h", "b", 9), "", "a", "", "", 4.0)
+        assert scheduler.place_turn(question, found, 10.5, limits) == PlacementDeferred(
+            0.5
+        )
+        assert scheduler.place_turn(question, found, 11.0, limits) == found[0]
+
+    def test_new_program_is_refused_when_no_target_is_ready(self):
+        """Guards against programs that begin where no turn may be sent."""
+        scheduler, _, limits = self.scheduler_at_limit()
+        answer = scheduler.admit_program("p", 2.0, ("t0",), 6, 10.5, limits)
+        assert isinstance(answer, ProgramRefused)
--- a/packages/swifttide_core/src/swifttide_core/admission/tests/test_working_set.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/tests/test_working_set.py
@@ -30,7 +30,7 @@
 
 
 class TestNewPrograms:
-    def test_wait_until_another_ends(self):
+    def test_new_program_waits_until_another_ends(self):
         """More programs start than the engine has memory for. Taken in, each pushes
         the others' histories out, and all compute theirs again at every turn.
         """
@@ -38,19 +38,19 @@
         assert isinstance(queue.offer(1.0, make_ticket("c")), Queued)
         assert queue.end_program(2.0, "p-a") == (Admitted("t-c", 152.0),)
 
-    def test_calls_under_way_pass_them(self):
+    def test_calls_of_started_programs_are_not_held_back(self):
         queue = make_full_queue()
         queue.offer(1.0, make_ticket("c"))
         later = make_ticket("d", attained_tokens=500.0)
         assert isinstance(queue.offer(1.0, later), Admitted)
 
-    def test_urgent_calls_pass_them(self):
+    def test_urgent_calls_are_not_held_back(self):
         """A counter tablet asks for stock while weekly boxes wait for room."""
         queue = make_full_queue()
         queue.offer(1.0, make_ticket("c"))
         assert isinstance(queue.offer(1.0, make_ticket("d", urgency=1)), Admitted)
 
-    def test_sub_agents_wait_too(self):
+    def test_first_calls_of_sub_agents_are_held_back(self):
         """One program starts forty sub-agents. Passing as calls under way, they would
         push out the histories of every other program.
         """
@@ -58,7 +58,7 @@
         sub_agent = make_ticket("s", attained_tokens=500.0, new_history=True)
         assert isinstance(queue.offer(1.0, sub_agent), Queued)
 
-    def test_idle_target_takes_them(self):
+    def test_idle_target_admits_new_programs(self):
         """All programs of a target pause for their tools. It would idle until one of
         them ends, although computing histories again costs nobody anything.
         """
@@ -68,22 +68,22 @@
         decisions = queue.release(2.0, "t-b", Outcome(tokens=100.0))
         assert [d.ticket_id for d in decisions] == ["t-c"]
 
-    def test_unknown_memory_holds_nobody_back(self):
+    def test_unknown_capacity_holds_no_program_back(self):
         queue = TargetQueue.from_config(AdmissionConfig(), 4)
         answers = [queue.offer(0.0, make_ticket(str(i))) for i in range(4)]
         assert all(isinstance(answer, Admitted) for answer in answers)
 
 
 class TestForgetIdle:
-    def test_room_of_a_lost_program_comes_back(self):
+    def test_idle_program_is_removed(self):
         """The notice that a program ended is lost. Its room would be taken for good,
         and after some hundred such losses no new program would enter.
         """
         held = WorkingSet(fill=1.0, idle_seconds=60.0, initial_stay_seconds=5.0)
         held.set_capacity(CAPACITY)
-        held.hold(0.0, "p", 9_000.0, 0.0)
-        held.forget_idle(59.0)
+        held.set_history(0.0, "p", 9_000.0, 0.0)
+        held.remove_idle(59.0)
         assert not held.has_room(5_000.0)
-        held.forget_idle(61.0)
-        held.hold(61.0, "q", 1_000.0, 0.0)
+        held.remove_idle(61.0)
+        held.set_history(61.0, "q", 1_000.0, 0.0)
         assert held.has_room(5_000.0)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
@@ -11,7 +11,7 @@
 import random
 from collections.abc import Callable
 
-from swifttide_core.admission import PlaceLater
+from swifttide_core.admission import PlacementDeferred
 from swifttide_core.forwarding import (
     Candidate,
     RequestKind,
@@ -242,9 +242,9 @@
                 return place.target, place
             found = self._choose(job, tried, progress.sent_target_ids)
             match found:
-                case PlaceLater(seconds):
-                    if isinstance(place, PlaceLater):
-                        seconds = min(seconds, place.seconds)
+                case PlacementDeferred(seconds):
+                    if isinstance(place, PlacementDeferred):
+                        seconds = min(seconds, place.retry_seconds)
                     if loop.time() + seconds > until:
                         # Too late for this attempt: the caller should retry instead.
                         self._refuse_paced(progress, seconds)
@@ -260,7 +260,7 @@
 
     async def _request_placement(
         self, job, tried, progress
-    ) -> Place | PlaceLater | None:
+    ) -> Place | PlacementDeferred | None:
         """Ask the request order for a target.
 
         Only streams, and requests whose targets may be cold, are ordered. A request
@@ -273,7 +273,7 @@
             this host has to choose.
         """
         is_ordered = job.route.kind is RequestKind.STREAMING
-        is_ordered = is_ordered or self._beliefs.cold.terms(job.service).binds
+        is_ordered = is_ordered or self._beliefs.cold.terms(job.service).is_limited
         if not is_ordered or progress.sent_target_ids:
             return None
         req = job.req
@@ -296,7 +296,9 @@
         targets = self._beliefs.targets_of(job.service.name, job.homes)
         return [t.id for t in targets if self._client.is_connected(t)]
 
-    def _choose(self, job, tried, may_have_run) -> TargetEntry | PlaceLater | None:
+    def _choose(
+        self, job, tried, may_have_run
+    ) -> TargetEntry | PlacementDeferred | None:
         """Choose the next target without the request order; None when none is left.
 
         The route's ``max_attempts`` limits the number of targets that may run the
@@ -314,7 +316,9 @@
         n_hosts = self._fleet.n_hosts()
         allowed, wait_seconds = cold.within_share(job.service, healthy, n_hosts)
         if healthy and not allowed:
-            return PlaceLater(wait_seconds if math.isfinite(wait_seconds) else 1.0)
+            return PlacementDeferred(
+                wait_seconds if math.isfinite(wait_seconds) else 1.0
+            )
         candidates = [self._candidate(target) for target in allowed]
         last = self._prompt_locations.last_target_id(job.customer, job.req)
         subject = job.req.subject
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_program_entry.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_program_entry.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from swifttide_core.admission import Entered, ProgramGate, TurnedAway
+from swifttide_core.admission import ProgramAdmitted, ProgramGate, ProgramRefused
 from swifttide_core.forwarding import AllowedRegions, ServiceSpec
 from swifttide_daemon.gateway._beliefs import Beliefs
 from swifttide_daemon.gateway.callers._refusal import Refusal
@@ -50,8 +50,8 @@
         """Update the service's gate with the current load if an update is due."""
         gate = self._gate(service)
         now = asyncio.get_running_loop().time()
-        if gate.wants_look(now):
-            gate.look(now, self.load(service))
+        if gate.needs_update(now):
+            gate.update_load(now, self.load(service))
 
     async def check(
         self,
@@ -78,23 +78,25 @@
         load = self.load(service)
         verdict = await self._order.enter(service, program, seconds, homes)
         by_order = verdict is not None
-        match verdict or gate.ask(load, program):
-            case Entered():
+        match verdict or gate.decide(load, program):
+            case ProgramAdmitted():
                 return
-            case TurnedAway(retry_seconds):
+            case ProgramRefused(retry_seconds):
                 self._log.info(
                     "no_place_for_program",
                     request_id=request_id,
                     service=service.name,
                     load=round(load, 3),
-                    share=round(gate.share, 3),
+                    share=round(gate.admitted_fraction, 3),
                     by_order=by_order,
                 )
                 raise Refusal(503, "targets_full", retry_seconds)
 
     def min_admitted_fraction(self) -> float:
         """Return the lowest fraction of new programs that any service's gate admits."""
-        return min((gate.share for gate in self._gates.values()), default=1.0)
+        return min(
+            (gate.admitted_fraction for gate in self._gates.values()), default=1.0
+        )
 
     def load(self, service: ServiceSpec) -> float:
         """Return the outstanding requests per place at a service's usable targets.
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_cold_targets.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_cold_targets.py
@@ -3,7 +3,12 @@
 import asyncio
 from collections.abc import Sequence
 
-from swifttide_core.admission import ColdTerms, KeeperStanding, Paced, TargetPace
+from swifttide_core.admission import (
+    ColdTargetLimits,
+    ReadyTargets,
+    SchedulerStanding,
+    TargetRateLimiter,
+)
 from swifttide_core.forwarding import ServiceSpec, TargetEntry
 from swifttide_daemon.telemetry import EventLog
 
@@ -32,12 +37,12 @@
         self._log = log
         self._until: dict[str, float] = {}
         self._odd: set[str] = set()
-        self._pace = TargetPace()
+        self._pace = TargetRateLimiter()
 
-    def terms(self, service: ServiceSpec) -> ColdTerms:
+    def terms(self, service: ServiceSpec) -> ColdTargetLimits:
         """Return what cold targets of a service bear."""
         bears = service.cold_requests_per_second
-        return ColdTerms(bears, bears * self._excess + self._extra)
+        return ColdTargetLimits(bears, bears * self._excess + self._extra)
 
     def is_cold(self, target_id: str) -> bool:
         """Whether a target is known to be cold."""
@@ -81,18 +86,19 @@
         self,
         service: ServiceSpec,
         targets: Sequence[TargetEntry],
-        standing: KeeperStanding,
+        standing: SchedulerStanding,
         heard_part: float,
     ) -> dict[str, float] | None:
         """Return what a keeper may send to each target in a second.
 
-        None where nothing binds. See `ColdTerms.keeper_limit` for the parameters.
+        None where nothing binds. See `ColdTargetLimits.scheduler_limit` for the
+        parameters.
         """
         terms = self.terms(service)
-        if not terms.binds:
+        if not terms.is_limited:
             return None
         return {
-            t.id: terms.keeper_limit(self.is_cold(t.id), standing, heard_part)
+            t.id: terms.scheduler_limit(self.is_cold(t.id), standing, heard_part)
             for t in targets
         }
 
@@ -110,17 +116,19 @@
             Until there is one, where there is none.
         """
         terms = self.terms(service)
-        if not terms.binds:
+        if not terms.is_limited:
             return list(targets), 0.0
-        limit = terms.host_limit(n_hosts)
-        paced = Paced.of(self._pace, {t.id: limit for t in targets}, _now())
+        limit = terms.unscheduled_host_limit(n_hosts)
+        paced = ReadyTargets.within_limits(
+            self._pace, {t.id: limit for t in targets}, _now()
+        )
         found = [t for t in targets if t.id in paced.targets]
         warm = [t for t in found if not self.is_cold(t.id)]
         return warm or found, paced.wait_seconds
 
     def sent_alone(self, target_id: str) -> None:
         """Count a request that is sent without a keeper."""
-        self._pace.note(target_id, _now())
+        self._pace.record(target_id, _now())
 
     def _note_odd(self, entry):
         if entry.id in self._odd:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_order_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_order_keeper.py
@@ -1,6 +1,6 @@
 """The order of turns over all hosts: asked at its keeper, or kept here.
 
-Load pattern: see `TurnOrder`; each turn asks one host by one datagram.
+Load pattern: see `TurnScheduler`; each turn asks one host by one datagram.
 
 Without it: each host decides by what the others told of a while ago.
 
@@ -16,13 +16,13 @@
 from dataclasses import dataclass
 
 from swifttide_core.admission import (
-    Entered,
-    KeeperStanding,
-    PlaceLater,
-    PlaceQuestion,
-    TurnedAway,
+    PlacementDeferred,
+    PlacementRequest,
+    ProgramAdmitted,
+    ProgramRefused,
+    SchedulerStanding,
     TurnId,
-    TurnOrder,
+    TurnScheduler,
 )
 from swifttide_core.forwarding import AllowedRegions, ServiceSpec, TargetEntry
 from swifttide_daemon.gateway._beliefs import Beliefs
@@ -120,7 +120,7 @@
         self._health = health
         self._send = send
         self._log = log
-        self._orders: dict[str, TurnOrder] = {}
+        self._orders: dict[str, TurnScheduler] = {}
         self._spans: dict[str, _KeptSpan] = {}
         self._waiting: dict[int, asyncio.Future[OrderAnswer]] = {}
 
@@ -130,7 +130,7 @@
         program: str,
         seconds: float | None,
         homes: AllowedRegions = None,
-    ) -> Entered | TurnedAway | None:
+    ) -> ProgramAdmitted | ProgramRefused | None:
         """Ask whether a new program may begin; None if the keeper doesn't answer."""
         number = secrets.randbits(NUMBER_BITS)
         seconds = round(seconds or 0.0, 3)
@@ -141,8 +141,8 @@
         if answer is None:
             return None
         if answer.retry_seconds > 0.0:
-            return TurnedAway(answer.retry_seconds)
-        return Entered()
+            return ProgramRefused(answer.retry_seconds)
+        return ProgramAdmitted()
 
     async def place(
         self,
@@ -154,7 +154,7 @@
         without: frozenset[str],
         homes: AllowedRegions = None,
         connected: Iterable[str] = (),
-    ) -> Place | PlaceLater | None:
+    ) -> Place | PlacementDeferred | None:
         """Ask where a turn goes; None if the keeper doesn't answer or knows no target.
 
         Parameters
@@ -187,7 +187,7 @@
         )
         answer, keeper = await self._ask(service.name, ask)
         if answer and answer.retry_seconds > 0.0:
-            return PlaceLater(answer.retry_seconds)
+            return PlacementDeferred(answer.retry_seconds)
         target = self._beliefs.targets.get(answer.target) if answer else None
         if target is None:
             return None
@@ -233,12 +233,12 @@
         """Take the requests under way that a host tells of in its beacon."""
         now = asyncio.get_running_loop().time()
         for order in self._orders.values():
-            order.reconcile(host, counts, now)
+            order.reconcile_host(host, counts, now)
 
     def forget_target(self, target_id: str) -> None:
         """Drop what is known of a target that has left."""
         for order in self._orders.values():
-            order.forget(target_id)
+            order.forget_target(target_id)
 
     async def _ask(self, service, ask) -> tuple[OrderAnswer | None, str]:
         keeper = self._choice.keepers(_order_name(service))[0]
@@ -275,12 +275,12 @@
                 places = sum(service.concurrency_at(t) for t in targets)
                 # A new keeper's small pace is no reason to turn programs away: hosts
                 # have shares of their own meanwhile.
-                limits = self._limits(service, targets, KeeperStanding.settled())
-                match order.enter(program, seconds, ids, places, now, limits):
-                    case TurnedAway(retry_seconds):
+                limits = self._limits(service, targets, SchedulerStanding.established())
+                match order.admit_program(program, seconds, ids, places, now, limits):
+                    case ProgramRefused(retry_seconds):
                         answer.retry_seconds = retry_seconds
             case AskPlace():
-                question = PlaceQuestion(
+                question = PlacementRequest(
                     TurnId(sender, ask.boot, ask.number),
                     ask.program,
                     ask.zone,
@@ -291,10 +291,10 @@
                 )
                 found = [t for t in targets if t.id not in ask.without]
                 limits = self._limits(service, found, standing)
-                match order.place(question, found, now, limits):
+                match order.place_turn(question, found, now, limits):
                     case TargetEntry(id=target_id):
                         answer.target = target_id
-                    case PlaceLater(seconds):
+                    case PlacementDeferred(seconds):
                         answer.retry_seconds = max(MIN_LATER_SECONDS, seconds)
         return answer
 
@@ -302,7 +302,7 @@
         heard_part = self._fleet.heard_fraction()
         return self._beliefs.cold.keeper_limits(service, targets, standing, heard_part)
 
-    def _standing(self, service) -> KeeperStanding:
+    def _standing(self, service) -> SchedulerStanding:
         """Return how sure this host is that no other keeps a service's order."""
         now = elapsed_seconds()
         span = self._spans.setdefault(service, _KeptSpan(now, now))
@@ -312,15 +312,15 @@
             span.since = now
         span.asked_at = now
         if not is_first:
-            return KeeperStanding.standin(self._choice.n_candidates())
+            return SchedulerStanding.substitute(self._choice.n_candidates())
         if now - span.since < SETTLE_SECONDS:
-            return KeeperStanding.new()
-        return KeeperStanding.settled()
+            return SchedulerStanding.newly_elected()
+        return SchedulerStanding.established()
 
-    def _order_of(self, service, now) -> TurnOrder:
+    def _order_of(self, service, now) -> TurnScheduler:
         order = self._orders.get(service)
         if order is None:
-            order = self._orders[service] = TurnOrder(now, self._health.outstanding)
+            order = self._orders[service] = TurnScheduler(now, self._health.outstanding)
             self._log.info("order_kept", service=service)
         return order
 
@@ -337,7 +337,7 @@
         seconds = message.first_seconds
         now = asyncio.get_running_loop().time()
         first_seconds = seconds if seconds >= 0.0 else None
-        order.left(turn, message.target, first_seconds, now, message.is_whole)
+        order.end_turn(turn, message.target, first_seconds, now, message.is_whole)
 
 
 def _order_name(service: str) -> str:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_cold_targets.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_cold_targets.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from swifttide_core.admission import Entered, PlaceLater
+from swifttide_core.admission import PlacementDeferred, ProgramAdmitted
 from swifttide_core.forwarding import RoutingConfig, ServiceSpec, TargetEntry
 from swifttide_daemon.gateway.targets._cold_targets import MAX_COLD_SECONDS, ColdTargets
 from swifttide_daemon.gateway.targets._order_messages import AskEntry, AskPlace
@@ -140,8 +140,8 @@
             return places, await order.enter(SPEC, "new", 2.0)
 
         places, entered = run_paused(main())
-        assert isinstance(places[-1], PlaceLater)
-        assert entered == Entered()
+        assert isinstance(places[-1], PlacementDeferred)
+        assert entered == ProgramAdmitted()
 
     def test_host_that_starts_answers_no_question(self, log):
         """Guards against an error at a host that doesn't know its configuration yet."""
