--- a/packages/swifttide_core/src/swifttide_core/admission/_retry_schedule.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_retry_schedule.py
@@ -20,9 +20,9 @@
         away for longer because others were refused before it.
     """
 
-    def __init__(self, shortest: float, longest: float) -> None:
-        self._shortest = shortest
-        self._longest = longest
+    def __init__(self, min_seconds: float, max_seconds: float) -> None:
+        self._min_seconds = min_seconds
+        self._max_seconds = max_seconds
         self._next_at: dict[str, float] = {}
 
     def reserve(
@@ -41,9 +41,9 @@
         spacing_seconds : float
             Time in which the target drains one such call of the customer.
         """
-        earliest = now + max(self._shortest, wait_seconds)
+        earliest = now + max(self._min_seconds, wait_seconds)
         at = max(earliest, self._next_at.get(customer, 0.0))
-        at = min(at, now + self._longest)
+        at = min(at, now + self._max_seconds)
         self._next_at[customer] = at + spacing_seconds
         return at - now
 
--- a/packages/swifttide_core/src/swifttide_core/admission/_turn_scheduler.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_turn_scheduler.py
@@ -144,9 +144,9 @@
         Takes a target's id and returns the requests there that other hosts told of.
     """
 
-    def __init__(self, now: float, told: Callable[[str], float]):
+    def __init__(self, now: float, reported_outstanding: Callable[[str], float]):
         self._started_at = now
-        self._reported_outstanding = told
+        self._reported_outstanding = reported_outstanding
         self._turns: dict[str, dict[TurnId, _PlacedTurn]] = {}
         self._programs: OrderedDict[str, _KnownProgram] = OrderedDict()
         self._latencies = TargetLatencies()
@@ -179,7 +179,7 @@
         limits : mapping of str to float, optional
             Requests a second that each target may get.
         """
-        known = self._remember_program(program, seconds or 0.0, now)
+        known = self._touch_program(program, seconds or 0.0, now)
         if known.is_admitted:
             return ProgramAdmitted()
         if (
@@ -215,7 +215,7 @@
             Requests a second that each target may get.
         """
         if request.program:
-            self._remember_program(request.program, 0.0, now).is_admitted = True
+            self._touch_program(request.program, 0.0, now).is_admitted = True
             self._entering_until.pop(request.program, None)
         targets = tuple(targets)
         if limits is not None and targets:
@@ -257,7 +257,7 @@
         target: str,
         first_seconds: float | None,
         now: float,
-        is_whole: bool = True,
+        is_complete: bool = True,
     ) -> None:
         """Note that a turn is no longer at its target.
 
@@ -274,7 +274,7 @@
         sent = self._turns.get(target, {}).pop(turn, None)
         if sent is None:
             return
-        if is_whole:
+        if is_complete:
             seconds = now - sent.placed_at
             self._bound.observe(seconds, sent.is_low_load, self._is_bound_reached, now)
         if first_seconds is None or first_seconds < 0.0:
@@ -338,7 +338,7 @@
         slowness = self._latencies.slowness(target.id, median_seconds, now)
         return count * slowness + target.capacity * (slowness - 1.0)
 
-    def _remember_program(self, program, seconds, now) -> _KnownProgram:
+    def _touch_program(self, program, seconds, now) -> _KnownProgram:
         known = self._programs.get(program)
         if known is None:
             known = self._programs[program] = _KnownProgram(seconds, now)
--- a/packages/swifttide_core/src/swifttide_core/admission/_working_set.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_working_set.py
@@ -45,9 +45,9 @@
     """
 
     def __init__(
-        self, fill: float, idle_seconds: float, initial_stay_seconds: float
+        self, fill_fraction: float, idle_seconds: float, initial_stay_seconds: float
     ) -> None:
-        self._fill = fill
+        self._fill_fraction = fill_fraction
         self._idle_seconds = idle_seconds
         self._histories: OrderedDict[str, _HeldHistory] = OrderedDict()
         self._reserved_tokens = 0.0
@@ -68,7 +68,9 @@
     @property
     def program_capacity(self) -> float:
         """Programs that fit when all have the expected length."""
-        return max(1.0, self._fill * self._capacity / max(self._mean_tokens, 1.0))
+        return max(
+            1.0, self._fill_fraction * self._capacity / max(self._mean_tokens, 1.0)
+        )
 
     def set_capacity(self, tokens: float) -> None:
         """Take over the memory that the target reports."""
@@ -78,7 +80,7 @@
         """Return whether a program of that expected length fits."""
         if not self.is_capacity_known or not self._histories:
             return True
-        return self._reserved_tokens + tokens <= self._fill * self._capacity
+        return self._reserved_tokens + tokens <= self._fill_fraction * self._capacity
 
     def set_history(
         self, now: float, program: str, tokens: float, expected_tokens: float
--- a/packages/swifttide_core/src/swifttide_core/admission/tests/test_connections.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/tests/test_connections.py
@@ -15,7 +15,7 @@
 
 N_HOSTS = 90
 N_TARGETS = 24
-CAPACITY = 6
+TARGET_CAPACITY = 6
 PROGRAMS_PER_SECOND = 21.0
 N_TURNS = 7
 TURN_SECONDS = 0.07
@@ -28,15 +28,15 @@
 class Simulation:
     """Programs at hosts that keep connections, placed by one order."""
 
-    def __init__(self, seed: int, tells: bool):
+    def __init__(self, seed: int, sends_connected_targets: bool):
         self._rng = random.Random(seed)
-        self._sends_connected_targets = tells
-        self._order = TurnScheduler(0.0, lambda target: 0.0)
+        self._sends_connected_targets = sends_connected_targets
+        self._scheduler = TurnScheduler(0.0, lambda target: 0.0)
         self._targets = [
-            TargetEntry(f"t{i}", "s", "ip", 1, "abc"[i % 3], CAPACITY)
+            TargetEntry(f"t{i}", "s", "ip", 1, "abc"[i % 3], TARGET_CAPACITY)
             for i in range(N_TARGETS)
         ]
-        self._idle: dict[tuple[int, str], list[float]] = {}
+        self._idle_since: dict[tuple[int, str], list[float]] = {}
         self._numbers = itertools.count()
         self.n_opened = 0
         self.n_turns = 0
@@ -61,8 +61,8 @@
                 heapq.heappush(events, (end, number, host, subject, target))
                 continue
             turn = TurnId(str(host), "b", number)
-            self._order.end_turn(turn, target, 0.02, now)
-            self._idle.setdefault((host, target), []).append(now)
+            self._scheduler.end_turn(turn, target, 0.02, now)
+            self._idle_since.setdefault((host, target), []).append(now)
 
     def _send(self, now, number, host, subject) -> str:
         connected = frozenset(
@@ -77,19 +77,19 @@
             4.0,
             connected if self._sends_connected_targets else frozenset(),
         )
-        target = self._order.place_turn(question, self._targets, now).id
+        target = self._scheduler.place_turn(question, self._targets, now).id
         kept = self._idle_connections(host, target, now)
         self.n_turns += 1
         if kept:
             kept.pop()
         else:
             self.n_opened += 1
-        count = self._order.outstanding(target, now)
+        count = self._scheduler.outstanding(target, now)
         self.max_outstanding = max(self.max_outstanding, count)
         return target
 
     def _idle_connections(self, host, target, now) -> list[float]:
-        kept = self._idle.get((host, target), [])
+        kept = self._idle_since.get((host, target), [])
         kept[:] = [t for t in kept if now - t < IDLE_TIMEOUT_SECONDS]
         return kept
 
--- a/packages/swifttide_core/src/swifttide_core/admission/tests/test_turn_scheduler.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/tests/test_turn_scheduler.py
@@ -14,13 +14,13 @@
 )
 from swifttide_core.forwarding import Candidate, TargetEntry, choose_target
 
-PLACES = 6
+TARGET_CAPACITY = 6
 TURN_SECONDS = 0.2
 
 
 def make_targets(count):
     return [
-        TargetEntry(f"t{i}", "s", "10.0.0.1", 1, "ab"[i % 2], PLACES)
+        TargetEntry(f"t{i}", "s", "10.0.0.1", 1, "ab"[i % 2], TARGET_CAPACITY)
         for i in range(count)
     ]
 
@@ -43,9 +43,9 @@
 
     def test_new_programs_are_admitted_while_capacity_is_free(self):
         scheduler, found = make_scheduler(), make_targets(2)
-        place_turns(scheduler, found, 2 * PLACES - 1)
+        place_turns(scheduler, found, 2 * TARGET_CAPACITY - 1)
         entered = [
-            scheduler.admit_program(p, 2.0, self.IDS, 2 * PLACES, 10.0)
+            scheduler.admit_program(p, 2.0, self.IDS, 2 * TARGET_CAPACITY, 10.0)
             for p in ("p1", "p2")
         ]
         assert entered[0] == ProgramAdmitted()
@@ -54,9 +54,9 @@
     def test_started_program_is_always_admitted(self):
         scheduler, found = make_scheduler(), make_targets(2)
         scheduler.place_turn(make_request(99, program="p1"), found, 10.0)
-        place_turns(scheduler, found, 3 * PLACES)
+        place_turns(scheduler, found, 3 * TARGET_CAPACITY)
         assert (
-            scheduler.admit_program("p1", 2.0, self.IDS, 2 * PLACES, 10.0)
+            scheduler.admit_program("p1", 2.0, self.IDS, 2 * TARGET_CAPACITY, 10.0)
             == ProgramAdmitted()
         )
 
@@ -65,20 +65,20 @@
         scheduler = make_scheduler()
         full = scheduler.admit_program("old", 2.0, self.IDS, 0, 10.0)
         assert isinstance(full, ProgramRefused)
-        later = scheduler.admit_program("old", 1.0, self.IDS, 2 * PLACES, 11.0)
+        later = scheduler.admit_program("old", 1.0, self.IDS, 2 * TARGET_CAPACITY, 11.0)
         assert isinstance(later, ProgramRefused)
         assert later.retry_seconds > full.retry_seconds
         assert (
-            scheduler.admit_program("soon", 2.0, self.IDS, 2 * PLACES, 11.0)
+            scheduler.admit_program("soon", 2.0, self.IDS, 2 * TARGET_CAPACITY, 11.0)
             == ProgramAdmitted()
         )
 
     def test_frequent_retries_do_not_get_a_program_admitted(self):
         scheduler, found = make_scheduler(), make_targets(2)
-        place_turns(scheduler, found, 2 * PLACES)
+        place_turns(scheduler, found, 2 * TARGET_CAPACITY)
         for _ in range(50):
-            scheduler.admit_program("hasty", 2.0, self.IDS, 2 * PLACES, 10.0)
-        assert scheduler.load(self.IDS, 10.0) == 2 * PLACES
+            scheduler.admit_program("hasty", 2.0, self.IDS, 2 * TARGET_CAPACITY, 10.0)
+        assert scheduler.load(self.IDS, 10.0) == 2 * TARGET_CAPACITY
 
     def test_admitted_program_counts_as_load_before_its_first_turn(self):
         scheduler = make_scheduler()
@@ -94,13 +94,13 @@
 
     def test_new_scheduler_counts_reported_requests(self):
         """Guards against a new keeper that lets in all as it has seen no turn."""
-        scheduler = make_scheduler(lambda target: float(PLACES), now=10.0)
+        scheduler = make_scheduler(lambda target: float(TARGET_CAPACITY), now=10.0)
         assert isinstance(
-            scheduler.admit_program("p", 2.0, self.IDS, 2 * PLACES, 10.1),
+            scheduler.admit_program("p", 2.0, self.IDS, 2 * TARGET_CAPACITY, 10.1),
             ProgramRefused,
         )
         assert (
-            scheduler.admit_program("p2", 2.0, self.IDS, 2 * PLACES, 20.0)
+            scheduler.admit_program("p2", 2.0, self.IDS, 2 * TARGET_CAPACITY, 20.0)
             == ProgramAdmitted()
         )
 
@@ -108,7 +108,7 @@
 class TestPlaceTurn:
     def test_turns_are_spread_evenly_over_targets(self):
         scheduler, found = make_scheduler(), make_targets(4)
-        place_turns(scheduler, found, 4 * PLACES)
+        place_turns(scheduler, found, 4 * TARGET_CAPACITY)
         for zone in "ab":
             own = [scheduler.outstanding(t.id, 10.0) for t in found if t.zone == zone]
             assert max(own) - min(own) <= 1
@@ -161,7 +161,7 @@
     Turns take ``stretch`` times as long where all places are in use.
     """
     scheduler, found = make_scheduler(), make_targets(4)
-    ids, places = [t.id for t in found], 4 * PLACES
+    ids, places = [t.id for t in found], 4 * TARGET_CAPACITY
     rng, now, running, used = random.Random(1), 10.0, [], []
     for number in range(4000):
         rate = 20.0 if now < 20.0 else 400.0
@@ -229,7 +229,7 @@
         else:
             known = [Candidate(t, told[t.id]) for t in found]
             target = choose_target(known, "a", "", None, host).id
-        full += outstanding[target] >= PLACES
+        full += outstanding[target] >= TARGET_CAPACITY
         outstanding[target] += 1
         heapq.heappush(running, (now + TURN_SECONDS, number, host, target))
     return full / 3000
--- a/packages/swifttide_core/src/swifttide_core/admission/tests/test_working_set.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/tests/test_working_set.py
@@ -79,7 +79,9 @@
         """The notice that a program ended is lost. Its room would be taken for good,
         and after some hundred such losses no new program would enter.
         """
-        held = WorkingSet(fill=1.0, idle_seconds=60.0, initial_stay_seconds=5.0)
+        held = WorkingSet(
+            fill_fraction=1.0, idle_seconds=60.0, initial_stay_seconds=5.0
+        )
         held.set_capacity(CAPACITY)
         held.set_history(0.0, "p", 9_000.0, 0.0)
         held.remove_idle(59.0)
