--- a/packages/swifttide_core/src/swifttide_core/admission/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/__init__.py
@@ -1,4 +1,9 @@
-"""Admission and queueing at one target."""
+"""Admission control and scheduling of calls and programs at targets.
+
+A program is a conversation or agent run of several turns; each turn is a call to a
+target. The package decides whether a new program may start, to which target a turn is
+sent, how many calls run at a target at once, and in which order the others wait.
+"""
 
 from swifttide_core.admission._call_cost import call_cost
 from swifttide_core.admission._concurrency_limit import ConcurrencyLimit
--- a/packages/swifttide_core/src/swifttide_core/admission/_concurrency_limit.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_concurrency_limit.py
@@ -1,18 +1,19 @@
-"""Adaptive limit of calls at once at one target.
-
-Load pattern: engines admit every request as it arrives, batch it with the others and
-report their load seconds later. Without a limit outside, a burst sits inside the
-engine, where nothing orders it by customer or deadline and nothing can be taken
-back; with a fixed limit, a slow engine is flooded and a fast one idles.
-
-The limit starts at the operators' bound, shrinks by a factor on congestion (calls that
-wait inside the engine, failures) and grows by one for a full round of calls while it is
-used up. Two decreases are kept a cooldown apart, because the signs of one congestion
-arrive late and many.
-
-Grounds: docs/design/admission.md. A limit that started low and felt its way up, and one
-that held the first token at 0.76 s or the token gap at 0.072 s, made whole programs
-slower: a batch that is kept small serves less.
+"""Adaptive limit on the number of concurrent calls at one target.
+
+Engines admit every request on arrival, batch it with the others and report their load
+seconds later. Without a limit outside of the engine, a burst waits inside it, where
+calls are not ordered by customer or deadline and cannot be withdrawn. With a fixed
+limit, a slow engine is overloaded and a fast one idles.
+
+The limit starts at the upper bound that operators set. It is multiplied by a factor
+below one on congestion (calls that wait inside the engine, or failures), and grows by
+one per full round of calls while it is fully used. A cooldown separates two decreases,
+because one congestion produces many signals that arrive late.
+
+The reasons are in docs/design/admission.md. Two alternatives made whole programs
+slower, because an engine with a small batch has less throughput: a limit that started
+low and increased from there, and one that held the time to the first token at 0.76 s or
+the gap between tokens at 0.072 s.
 """
 
 from swifttide_core.admission._config import AdmissionConfig
@@ -21,14 +22,14 @@
 
 
 class ConcurrencyLimit:
-    """Additive increase, multiplicative decrease by late load and failures.
+    """Concurrency limit with additive increase and multiplicative decrease (AIMD).
 
     Parameters
     ----------
     cfg : AdmissionConfig
-        Targets and factors.
+        Lower bound, decrease factor and cooldown.
     max_limit : int
-        Upper bound, from the target's document.
+        Upper bound in calls, from the target's configuration document.
     """
 
     def __init__(self, cfg: AdmissionConfig, max_limit: int) -> None:
@@ -40,11 +41,11 @@
 
     @property
     def value(self) -> int:
-        """Calls that may be at the target at once."""
+        """Number of calls that may be at the target at once."""
         return int(self._limit)
 
     def set_max(self, max_limit: int) -> None:
-        """Take over an edited upper bound."""
+        """Set the upper bound; a limit that was at the old bound rises with it."""
         bound = max(max_limit, self._cfg.min_limit)
         if bound > self._max and self._limit == self._max:
             self._limit = float(bound)
@@ -52,17 +53,17 @@
         self._limit = min(self._limit, float(self._max))
 
     def observe_release(self, now: float, outcome: Outcome, saturated: bool) -> None:
-        """Learn from a call that ended.
+        """Adapt the limit to the outcome of a call.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         outcome : Outcome
-            What was measured of the call.
+            How the call ended.
         saturated : bool
-            Whether the limit was used up; an unused limit must not grow, since
-            nothing shows that the target could bear it.
+            Whether the limit was fully used. A limit that isn't used must not grow,
+            since nothing shows that the target could sustain more calls.
         """
         match outcome.status:
             case OutcomeStatus.FAILED:
@@ -74,15 +75,15 @@
             self._increase()
 
     def observe_load(self, now: float, report: LoadReport) -> None:
-        """Learn from a late load report.
+        """Adapt the limit to a load report, which is seconds old when it arrives.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         report : LoadReport
-            Engine's load; one measured before the last decrease tells of the old
-            limit and only holds growth back.
+            Load of the engine. A report measured before the last decrease reflects
+            the old limit: it stops growth, but causes no further decrease.
         """
         self._growth_paused = report.waiting > 0
         if self._growth_paused and report.measured_at > self._decreased_at:
--- a/packages/swifttide_core/src/swifttide_core/admission/_config.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_config.py
@@ -1,4 +1,4 @@
-"""Settings of admission at a target."""
+"""Settings of a target's queue."""
 
 from dataclasses import dataclass
 
@@ -10,34 +10,36 @@
     Parameters
     ----------
     min_limit : int
-        Lower bound of the adaptive limit; below it a target would never be
-        measured again.
+        Lower bound of the adaptive concurrency limit, in calls. With a limit of 0 a
+        target would get no call any more by which it could be measured.
     decrease_factor : float
-        What is left of the limit after a sign of congestion.
+        Factor by which the limit is multiplied on congestion.
     cooldown_seconds : float
-        Least time between two decreases; not below the lag of load reports.
+        Minimum time between two decreases; not below the delay of load reports.
     max_wait_seconds : float
-        Longest expected wait of a call.
+        Longest expected wait with which a call is queued; calls that would wait
+        longer are refused.
     urgency_seconds : float
-        Seconds of waiting that one step of urgency is worth.
+        Waiting time that one step of urgency counts as in the order of calls.
     lease_seconds : float
         Time after which a grant that was neither released nor renewed expires.
     drain_window_seconds : float
         Time constant of the measured drain rate.
     initial_service_seconds : float
-        Service time assumed until the first call was released.
+        Service time of a call that is assumed until one was released.
     working_set_fill : float
-        Part of a target's memory that the expected histories of its programs may
-        fill before new programs wait.
+        Fraction of a target's memory that the expected histories of its programs may
+        fill; beyond it new programs wait.
     spare_fraction : float
-        Part of the limit below which a target counts as idle enough to compute
-        histories again, so that new programs enter whatever its memory holds.
+        Fraction of the concurrency limit below which a target counts as idle enough
+        to compute histories again; new programs then enter however full its memory is.
     idle_program_seconds : float
-        Silence after which a program counts as gone from a target.
+        Time without a call after which a program counts as gone from a target.
     initial_stay_seconds : float
-        Time from a program's first call to its end, until one was measured.
+        Time from a program's first call to its end that is assumed until one was
+        measured.
     min_retry_seconds, max_retry_seconds : float
-        Bounds of the time to come back.
+        Bounds of the retry time that refused callers get.
     """
 
     min_limit: int = 1
@@ -57,19 +59,20 @@
 
     @classmethod
     def for_service(cls) -> "AdmissionConfig":
-        """Return the settings of a plain service, whose calls are shorter."""
+        """Return the settings for a service without a model; its calls are shorter."""
         return cls(
             initial_service_seconds=0.5,
         )
 
 
 def check_admission_config(cfg: AdmissionConfig) -> AdmissionConfig:
-    """Return the settings when they are usable.
+    """Return the settings if they are valid.
 
     Raises
     ------
     ValueError
-        States the setting, the expected range and the value found.
+        If a setting is out of range; the message names the setting, the expected
+        range and the value found.
     """
     if cfg.min_limit < 1:
         raise ValueError(f"min_limit must be >= 1, got {cfg.min_limit!r}")
--- a/packages/swifttide_core/src/swifttide_core/admission/_decision.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_decision.py
@@ -1,4 +1,4 @@
-"""Answers of a target's queue."""
+"""Decisions of a target's queue on a call."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The call may be sent now.
+    """The call may be sent to the target now.
 
     Parameters
     ----------
     ticket_id : str
         Id of the call.
     expires_at : float
-        Time at which the grant expires unless it is renewed or released.
+        Time, in monotonic seconds, at which the grant expires unless it is renewed or
+        released.
     """
 
     ticket_id: str
@@ -23,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """The call waits; a later decision names it.
+    """The call waits; a later decision with the same id admits or refuses it.
 
     Parameters
     ----------
     ticket_id : str
         Id of the call.
     expected_wait_seconds : float
-        Estimate from the measured drain rate.
+        Wait estimated from the measured drain rate.
     """
 
     ticket_id: str
@@ -39,16 +40,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The call was not sent and won't be: the answer is final.
+    """The call was not sent to the target and will not be; the decision is final.
 
     Parameters
     ----------
     ticket_id : str
         Id of the call.
     refusal : Refusal
-        Always ``not_run``, with when to come back.
+        Reason and retry time; its verdict is always ``not_run``.
     try_elsewhere : bool
-        Whether another target may take the call at once.
+        Whether the call may be offered to another target at once.
     """
 
     ticket_id: str
@@ -57,4 +58,4 @@
 
 
 Decision = Admitted | Refused
-"""What a call that waits is told later."""
+"""Final decision on a waiting call."""
--- a/packages/swifttide_core/src/swifttide_core/admission/_drain_rate.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_drain_rate.py
@@ -1,32 +1,34 @@
-"""Measured drain rate of a target.
-
-Load pattern: a queue behind a target whose speed is unknown and changes. A fixed
-time to come back is wrong at every speed but one: too short, and refused callers
-return into the same full queue; too long, and the target idles. A rate counted over
-all time understates a target that was idle, since it counts the lack of callers.
-
-Grounds: while calls wait, releases over seconds are the drain rate itself. While
-none wait, Little's law (limit over mean service time) gives what the target could
-drain. The two are blended by how long calls have waited within the window, so a
-target that hangs is seen as slow although it releases nothing.
+"""Estimate of the rate at which a target completes calls.
+
+The rate decides how long a queued call is expected to wait and when a refused caller
+should retry. The speed of targets is unknown and changes, so a fixed retry time is
+wrong at every speed but one: if it is too short, refused callers return to the same
+full queue; if too long, the target idles. An average over all time underestimates a
+target that was idle, since it also counts the time without callers.
+
+While calls wait, the drain rate is the number of releases over the elapsed time. While
+none wait, it is estimated by Little's law as the concurrency limit over the mean
+service time. The two are averaged, weighted by how long calls have waited within the
+window, so that a target that hangs counts as slow although it releases nothing.
 """
 
 import math
 
 PRIOR_WEIGHT_SECONDS = 2.0
-"""Weight of Little's estimate, in seconds of busy time; about one service time."""
+"""Weight of the estimate by Little's law, as seconds in which calls wait; about one
+service time."""
 
 SERVICE_SMOOTHING = 0.1
-"""Share of the newest call in the mean service time and size."""
+"""Weight of the newest call in the mean service time and the mean size of calls."""
 
 
 class DrainRate:
-    """Releases and tokens a second that a target can drain.
+    """Calls and tokens per second that a target can complete.
 
     Parameters
     ----------
     window_seconds : float
-        Time constant over which old measurements fade.
+        Time constant of the exponential decay of old measurements.
     service_seconds : float
         Service time assumed until the first release.
     """
@@ -46,14 +48,14 @@
         return self._service_seconds
 
     def observe(self, now: float, busy: bool) -> None:
-        """Account for the time since the last event.
+        """Account for the time since the last call of this method.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         busy : bool
-            Whether calls waited since the last event.
+            Whether calls waited during that time.
         """
         if self._updated_at is None:
             self._updated_at = now
@@ -69,7 +71,7 @@
     def observe_release(
         self, busy: bool, service_seconds: float, tokens: float
     ) -> None:
-        """Account for one release.
+        """Account for one released call.
 
         Parameters
         ----------
@@ -78,7 +80,7 @@
         service_seconds : float
             Time from grant to release.
         tokens : float
-            Tokens computed.
+            Cost of the call, in the units of `call_cost`.
         """
         if busy:
             self._busy_releases += 1.0
@@ -94,29 +96,29 @@
         )
 
     def observe_entry(self, busy: bool) -> None:
-        """Account for an event without a service time of its own."""
+        """Count the entry of a program, whose service time is set separately."""
         if busy:
             self._busy_releases += 1.0
 
     def set_service_seconds(self, seconds: float) -> None:
-        """Take over a service time that was measured elsewhere."""
+        """Set a service time that was measured elsewhere."""
         self._service_seconds = seconds
 
     def per_second(self, limit: float) -> float:
-        """Return releases a second at the given concurrency limit."""
+        """Return the releases per second at the given concurrency limit."""
         little = limit / max(self._service_seconds, 1e-3)
         releases = self._busy_releases + PRIOR_WEIGHT_SECONDS * little
         return releases / (self._busy_seconds + PRIOR_WEIGHT_SECONDS)
 
     def tokens_per_second(self, limit: float, expected_tokens: float) -> float:
-        """Return tokens a second, by the mean size of the calls released so far.
+        """Return the tokens per second, by the mean size of the released calls.
 
         Parameters
         ----------
         limit : float
-            Concurrency limit.
+            Concurrency limit, in calls.
         expected_tokens : float
-            Size of a call assumed until one was released.
+            Size of a call that is assumed until one was released.
         """
         size = self._tokens_per_call
         if size is None:
--- a/packages/swifttide_core/src/swifttide_core/admission/_fair_queue.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_fair_queue.py
@@ -1,15 +1,16 @@
-"""Order of waiting calls: customers by virtual token counter, then by score.
+"""Weighted fair queue of the calls that wait for one target.
 
-Load pattern: one customer sends several times its rate, or programs of a hundred
-calls, while others send a call now and then. First come first served gives the
-engine to whoever sends most; counting calls instead of tokens gives it to
-whoever sends the longest calls.
+One customer can send several times its rate, or programs of a hundred calls, while
+others send a call now and then. First come, first served would give the engine to the
+customer with the most calls; fairness by calls instead of tokens would give it to the
+customer with the longest calls.
 
-Each customer has a counter of tokens served over its weight, and the smallest
-counter goes next. A customer that comes back from a pause starts at the present
-counter, so that silence saves up no claim. Expected tokens are charged at the start
-and corrected at the end. First calls of programs wait in a lane of their own, with
-the same counters, since they may be held back.
+Each customer has a virtual counter of the tokens served, divided by its weight. The
+customer with the smallest counter goes next, and its calls are ordered by a score. A
+customer that returns after a pause starts at the current virtual time, so that it can't
+accumulate claims while it sends nothing. Expected tokens are charged at the start of a
+call and corrected at its end. First calls of programs wait in a lane of their own, with
+the same counters, since they may be held back for lack of memory at the target.
 
 References
 ----------
@@ -18,9 +19,9 @@
 
 Notes
 -----
-A heap of calls for each customer and lane, and a heap of customers for each lane:
-push, pop and withdraw cost O(log n) amortised. Entries that are out of date are
-skipped when they reach the top.
+There is a heap of calls for each customer and lane, and a heap of customers for each
+lane. Push, pop and withdraw take amortised O(log n) time. Outdated entries are skipped
+when they reach the top of a heap.
 """
 
 import heapq
@@ -32,13 +33,13 @@
 
 
 class Lane(IntEnum):
-    """Where a call waits."""
+    """Lane of the queue in which a call waits."""
 
     READY = 0
-    """Calls of programs under way, and urgent ones: never held back."""
+    """Calls of started programs, and urgent calls; they are never held back."""
 
     ENTRY = 1
-    """First calls of programs, which may have to wait for room."""
+    """First calls of programs and sub-agents, which may have to wait for memory."""
 
 
 @dataclass(slots=True)
@@ -68,7 +69,7 @@
 
 
 class FairQueue:
-    """Waiting calls of one target in the order in which they go next.
+    """Calls that wait for one target, in the order in which they are admitted.
 
     Attributes
     ----------
@@ -91,28 +92,28 @@
         return len(self._tickets)
 
     def __contains__(self, ticket_id: str) -> bool:
-        """Return whether the call waits."""
+        """Return whether the call is waiting."""
         return ticket_id in self._tickets
 
     @property
     def n_waiting_first_calls(self) -> int:
-        """First calls that wait to enter."""
+        """Number of waiting calls in the entry lane."""
         return self._n_waiting_first_calls
 
     @property
     def n_customers(self) -> int:
-        """Customers that are remembered."""
+        """Number of customers whose counters are kept."""
         return len(self._customers)
 
     def push(self, ticket: Ticket, score: float) -> None:
-        """Add a call.
+        """Add a waiting call.
 
         Parameters
         ----------
         ticket : Ticket
             The call.
         score : float
-            Smaller goes first within the customer and lane.
+            Calls with smaller scores go first within their customer and lane.
         """
         state = self._activate(ticket)
         lane = state.lanes[lane_of(ticket)]
@@ -127,7 +128,7 @@
             self._push_customer(ticket.customer, state, lane_of(ticket))
 
     def peek_first_call(self) -> Ticket | None:
-        """Return the first call that would enter next."""
+        """Return the next call of the entry lane; None if it is empty."""
         name = self._top_customer(Lane.ENTRY)
         if name is None:
             return None
@@ -136,12 +137,14 @@
         return self._tickets[lane.calls[0][2]][0]
 
     def pop(self, entry_allowed: bool = True) -> Ticket | None:
-        """Take the call that goes next and charge its customer.
+        """Remove and return the call that goes next, and charge its customer.
+
+        None is returned if no call may go.
 
         Parameters
         ----------
         entry_allowed : bool
-            Whether a first call may be taken.
+            Whether a call of the entry lane may be taken.
         """
         chosen, counter = None, float("inf")
         for lane in Lane:
@@ -159,7 +162,7 @@
         return ticket
 
     def withdraw(self, ticket_id: str) -> Ticket | None:
-        """Remove a waiting call; return None when it does not wait."""
+        """Remove and return a waiting call; return None if it does not wait."""
         entry = self._tickets.pop(ticket_id, None)
         if entry is None:
             return None
@@ -170,18 +173,18 @@
         return ticket
 
     def start(self, ticket: Ticket) -> None:
-        """Charge a call that never waited."""
+        """Charge the customer for a call that starts without waiting."""
         self._charge(ticket, self._activate(ticket))
 
     def finish(self, ticket: Ticket, tokens: float) -> None:
-        """Correct the charge of a call that ended.
+        """Replace the expected cost of a call that ended by its actual cost.
 
         Parameters
         ----------
         ticket : Ticket
             The call.
         tokens : float
-            Tokens that were really computed.
+            Actual cost of the call, in the units of `call_cost`.
         """
         state = self._customers[ticket.customer]
         state.n_in_flight -= 1
@@ -190,7 +193,7 @@
         self._deactivate(ticket.customer, state)
 
     def tokens_ahead(self, ticket: Ticket) -> float:
-        """Return the customer's waiting tokens that go before the call."""
+        """Return the expected tokens of the customer's calls that go before it."""
         state = self._customers.get(ticket.customer)
         if state is None:
             return 0.0
@@ -202,12 +205,12 @@
         )
 
     def first_calls_ahead(self, ticket: Ticket) -> int:
-        """Return the customer's waiting first calls."""
+        """Return the number of the customer's calls in the entry lane."""
         state = self._customers.get(ticket.customer)
         return 0 if state is None else state.lanes[Lane.ENTRY].n_queued
 
     def share(self, ticket: Ticket) -> float:
-        """Return the part of the target that the customer gets, in (0, 1]."""
+        """Return the fraction of the target that the customer gets, in (0, 1]."""
         state = self._customers.get(ticket.customer)
         others = self.active_weight
         if state is not None and state.is_active:
@@ -215,7 +218,7 @@
         return ticket.weight / (ticket.weight + max(0.0, others))
 
     def tickets(self) -> tuple[Ticket, ...]:
-        """Return the waiting calls in the order in which they came."""
+        """Return the waiting calls in the order of their arrival."""
         return tuple(ticket for ticket, _ in self._tickets.values())
 
     def _activate(self, ticket: Ticket) -> _CustomerState:
@@ -257,15 +260,15 @@
         heapq.heappush(self._customer_heaps[lane], (state.counter, stamp, name))
 
     def _top_customer(self, lane: Lane) -> str | None:
-        order = self._customer_heaps[lane]
-        while order:
-            _, stamp, name = order[0]
+        heap = self._customer_heaps[lane]
+        while heap:
+            _, stamp, name = heap[0]
             state = self._customers.get(name)
             if state is not None:
                 waiting = state.lanes[lane]
                 if waiting.n_queued and waiting.stamp == stamp:
                     return name
-            heapq.heappop(order)
+            heapq.heappop(heap)
         return None
 
     def _skip_stale(self, lane: _CustomerLane) -> None:
--- a/packages/swifttide_core/src/swifttide_core/admission/_load_report.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_load_report.py
@@ -1,22 +1,23 @@
-"""Load that an engine reports, late."""
+"""Load report of an engine, which arrives seconds after its measurement."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """State of an engine at a time in the past.
+    """Load of an engine at a time in the past.
 
     Parameters
     ----------
     measured_at : float
-        Time of the measurement, not of its arrival.
+        Time of the measurement, not of its arrival, in monotonic seconds.
     running : int
-        Calls in the engine's batch.
+        Number of calls in the engine's batch.
     waiting : int
-        Calls that the engine took in and does not serve yet.
+        Number of calls that the engine has accepted but does not serve yet.
     cache_capacity_tokens : float
-        Memory for histories; 0 when unknown, then new programs are not held back.
+        Memory for the histories of programs. 0 when unknown; new programs are then
+        not held back for lack of memory.
     """
 
     measured_at: float
--- a/packages/swifttide_core/src/swifttide_core/admission/_outcome.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_outcome.py
@@ -1,4 +1,4 @@
-"""What became of an admitted call."""
+"""Outcome of an admitted call."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What the entry host measured of a call that it releases.
+    """Outcome of a call, as measured by the host that received it from the caller.
 
     Parameters
     ----------
     status : OutcomeStatus
-        ``NOT_SENT`` calls are not charged to the customer.
+        How the call ended; ``NOT_SENT`` calls are not charged to the customer.
     tokens : float or None
-        Tokens computed, in the units of ``Ticket.expected_tokens``; None when
+        Cost of the call, in the units of ``Ticket.expected_tokens``; None when
         unknown.
     """
 
--- a/packages/swifttide_core/src/swifttide_core/admission/_outstanding_turn_bound.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_outstanding_turn_bound.py
@@ -1,35 +1,48 @@
-"""How many turns targets bear, learned from how long turns take.
+"""Adaptive bound on the outstanding turns, learned from the duration of turns.
 
-Load pattern: a burst fills all places of targets that are slower the fuller they are.
+Targets can become slower the fuller they are. In a burst that fills all of their
+places, every active program would then end late, although no target queues or sheds
+requests.
 
-Without it: every program under way ends late, though no target queues or sheds.
+The bound is a fraction of all places, where a place is one turn that a target runs
+concurrently. It falls while turns take much longer than turns at low load, and rises
+again otherwise. While it is reached, no new programs are admitted.
 """
 
 MAX_SLOWDOWN = 1.7
-"""Times as long as in calm that turns may take: callers' aims are half as long again as
-their programs take on idle targets, and turns are two thirds of that."""
+"""Ratio of the recent mean duration of turns to that at low load above which the bound
+falls. Callers' deadlines are half as long again as their programs take on idle targets,
+and turns make up two thirds of that time."""
 
 UPDATE_INTERVAL_SECONDS = 0.2
-"""Between changes of the bound: about a turn's time."""
+"""Minimum time between two changes of the bound; about the duration of a turn."""
 
 DECREASE_FACTOR = 0.93
+"""Factor by which the bound falls at a change."""
+
 INCREASE_FRACTION = 0.02
-"""Of the places; the bound is back from its least in some seconds."""
+"""Fraction of all places by which the bound rises at a change; it rises from its
+minimum to all places in some seconds."""
 
 MIN_FRACTION = 0.3
+"""Lower bound of the admitted outstanding turns, as a fraction of all places."""
 
 LOW_LOAD_GAIN = 0.005
+"""Weight of the newest turn in the mean duration at low load, which covers about two
+hundred turns."""
+
 RECENT_GAIN = 0.05
-"""Weight of the newest turn: some two hundred in calm, twenty of late."""
+"""Weight of the newest turn in the recent mean duration, which covers about twenty
+turns."""
 
 
 class OutstandingTurnBound:
-    """Learns how many turns targets bear.
+    """Bound on the outstanding turns at all targets of a service.
 
     Attributes
     ----------
-    part : float
-        Turns that they bear, as a part of their places.
+    fraction : float
+        Bound as a fraction of the places at all targets.
     """
 
     def __init__(self):
@@ -41,16 +54,19 @@
     def observe(
         self, seconds: float, is_low_load: bool, is_bound_reached: bool, now: float
     ) -> None:
-        """Take how long a turn took.
+        """Adapt the bound to the duration of a turn that ended.
 
         Parameters
         ----------
         seconds : float
-        is_calm : bool
-            Whether targets were mostly empty as it was sent.
-        is_full : bool
-            Whether the bound is used up now; else it has nothing to do with it.
+            Time from the turn's placement to its end.
+        is_low_load : bool
+            Whether most places were free when the turn was placed.
+        is_bound_reached : bool
+            Whether the bound is reached now; otherwise it can't be the cause of slow
+            turns and does not fall.
         now : float
+            Monotonic seconds.
         """
         if is_low_load:
             self._low_load_seconds = _moving_mean(
--- a/packages/swifttide_core/src/swifttide_core/admission/_profile_estimates.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_profile_estimates.py
@@ -1,30 +1,32 @@
-"""What programs of a profile usually need, learned from those that were seen.
+"""Estimates of the tokens and time that programs of a profile need.
 
-Load pattern: programs whose graph nobody knows ahead of time. Without an estimate the
-queue takes in as many new programs as there are free places, and their histories
-outgrow the engine's memory together some turns later; each then computes its
-history again at every turn.
+The estimates are learned from earlier programs of the same profile, because the number
+and size of a program's turns are not known when it starts. Without an estimate, the
+queue admits as many new programs as there are free places. Some turns later their
+histories together exceed the engine's memory, and each program has its history computed
+again at every turn.
 
-Grounds: moving means with small weights, since lengths of programs are skewed and one
-long program must not change what is expected of the next. The bench's figures with
-and without them are in docs/measurements.md.
+The estimates are exponential moving averages with small weights: program lengths are
+skewed, and one long program must not change what is expected of the next. Benchmark
+figures with and without the estimates are in docs/measurements.md.
 """
 
 OUTPUT_WEIGHT = 0.1
-"""Share of the newest answer; some ten answers make up the estimate."""
+"""Weight of the newest answer; the estimate covers about the last ten answers."""
 
 PROGRAM_WEIGHT = 0.05
-"""Share of the newest program; some twenty programs make up the estimate."""
+"""Weight of the newest program; the estimate covers about the last twenty programs."""
 
 DEFAULT_OUTPUT_TOKENS = 150.0
+"""Expected length of an answer until one of the profile has been observed."""
 
 
 class ProfileEstimates:
-    """Moving means by profile.
+    """Exponential moving averages of token counts and durations, by profile.
 
     Notes
     -----
-    Every host learns from the programs that it holds; nothing is exchanged.
+    Each host learns from the programs that it holds; hosts do not exchange estimates.
     """
 
     def __init__(self) -> None:
@@ -33,24 +35,33 @@
         self._seconds: dict[str, float] = {}
 
     def observe_output(self, profile: str, tokens: float) -> None:
-        """Learn from an answer of `tokens`."""
+        """Update the expected answer length with an answer of `tokens`."""
         _update_mean(self._output, profile, tokens, OUTPUT_WEIGHT)
 
     def observe_program(self, profile: str, tokens: float, seconds: float) -> None:
-        """Learn from a program that ended with `tokens` of history after `seconds`."""
+        """Update the estimates with a program that ended.
+
+        Parameters
+        ----------
+        profile : str
+        tokens : float
+            Length of the program's history at its end.
+        seconds : float
+            Time from the program's first call to its end.
+        """
         _update_mean(self._context, profile, tokens, PROGRAM_WEIGHT)
         _update_mean(self._seconds, profile, seconds, PROGRAM_WEIGHT)
 
     def output_tokens(self, profile: str) -> float:
-        """Return the tokens that an answer is expected to have."""
+        """Return the expected length of an answer, in tokens."""
         return self._output.get(profile, DEFAULT_OUTPUT_TOKENS)
 
     def context_tokens(self, profile: str) -> float:
-        """Return the length that a history reaches in the end; 0 when unknown."""
+        """Return the expected final length of a history in tokens; 0 when unknown."""
         return self._context.get(profile, 0.0)
 
     def program_seconds(self, profile: str) -> float:
-        """Return the time from first call to end; 0 when unknown."""
+        """Return the expected time from first call to end; 0 when unknown."""
         return self._seconds.get(profile, 0.0)
 
 
--- a/packages/swifttide_core/src/swifttide_core/admission/_retry_schedule.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_retry_schedule.py
@@ -1,23 +1,23 @@
-"""When refused callers are told to come back.
+"""Retry times of refused calls.
 
-Load pattern: a burst or an overload, in which hundreds of callers are refused within a
-second. Told the same time, they come back together, are refused together and go
-on so, while the target idles between their waves.
+In a burst or an overload, hundreds of callers are refused within a second. If all got
+the same retry time, they would return and be refused together again and again, while
+the target idles in between.
 
-Each refusal of a customer takes the next free time after those promised before it,
-at the distance in which the target drains one call of that customer, so callers
-return at the pace at which they can be served.
+Each refused call of a customer gets the next free time after those assigned before. The
+times are spaced by the time in which the target completes one call of that customer, so
+that callers return at the rate at which they can be served.
 """
 
 
 class RetrySchedule:
-    """Next free time to come back, for each customer.
+    """Next free retry time of each customer.
 
     Parameters
     ----------
     shortest, longest : float
-        Bounds in seconds. At the upper bound promises bunch up; no caller is sent
-        away for longer because others were refused before it.
+        Bounds of the time until the retry. At the upper bound several callers get the
+        same time; none has to wait longer because others were refused before it.
     """
 
     def __init__(self, min_seconds: float, max_seconds: float) -> None:
@@ -28,18 +28,18 @@
     def reserve(
         self, now: float, customer: str, wait_seconds: float, spacing_seconds: float
     ) -> float:
-        """Return seconds until the caller should come back.
+        """Assign the next free retry time and return the seconds until then.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         customer : str
-            Whose call was refused.
+            Customer whose call was refused.
         wait_seconds : float
-            Time until the first place is expected to be free.
+            Time until the target is expected to accept a call of this customer.
         spacing_seconds : float
-            Time in which the target drains one such call of the customer.
+            Time in which the target completes one such call of the customer.
         """
         earliest = now + max(self._min_seconds, wait_seconds)
         at = max(earliest, self._next_at.get(customer, 0.0))
@@ -48,7 +48,7 @@
         return at - now
 
     def remove_expired(self, now: float) -> None:
-        """Drop customers whose promises lie in the past."""
+        """Remove customers whose retry times have passed."""
         past = [name for name, at in self._next_at.items() if at <= now]
         for name in past:
             del self._next_at[name]
--- a/packages/swifttide_core/src/swifttide_core/admission/_target_latencies.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_target_latencies.py
@@ -1,24 +1,25 @@
-"""How fast targets are, learned from the time to the first event of turns.
+"""Detection of slow targets by the time from sending a turn to its first event.
 
-Load pattern: some targets turn slow without warning, and say that they are well.
-
-Without it: turns go on to them until their callers give up.
+A target can become slow without warning while its health checks still pass. Without
+this module it would get further turns until their callers give up.
 """
 
 import statistics
 from dataclasses import dataclass
 
 LATENCY_GAIN = 0.1
-"""Weight of the newest turn in what is known of a target's speed."""
+"""Weight of the newest turn in the moving average of a target's latency."""
 
 HALF_LIFE_SECONDS = 4.0
-"""What is known of a target's speed counts half after so long."""
+"""Time after which the measured slowness of a target counts half, so that the target is
+tried again. Older averages do not count towards the median of all targets."""
 
 MIN_SLOWNESS = 2.5
-"""Times the median that a target needs for a first event before it counts as slow: long
-prompts and a full batch make twice as much."""
+"""Ratio to the median latency from which on a target counts as slow. Long prompts and a
+full batch already cause a ratio of 2."""
 
 MAX_SLOWNESS = 8.0
+"""Upper bound of the ratio that is returned."""
 
 
 @dataclass(slots=True)
@@ -28,16 +29,16 @@
 
 
 class TargetLatencies:
-    """Tells which targets are slower than the others.
+    """Moving averages of the time to the first event, by target.
 
-    Times are monotonic seconds.
+    All times named ``now`` are monotonic seconds.
     """
 
     def __init__(self):
         self._latencies: dict[str, _Latency] = {}
 
     def observe(self, target: str, first_seconds: float, now: float) -> None:
-        """Take the time from a turn's sending to its first event."""
+        """Update a target's average with the time from sending to first event."""
         known = self._latencies.get(target)
         if known is None:
             self._latencies[target] = _Latency(first_seconds, now)
@@ -46,11 +47,11 @@
         known.observed_at = now
 
     def forget(self, target: str) -> None:
-        """Drop what is known of a target."""
+        """Remove the average of a target."""
         self._latencies.pop(target, None)
 
     def median_seconds(self, now: float) -> float:
-        """Return the median of targets that served turns lately; 0 without any."""
+        """Return the median of recently updated averages; 0 if there are none."""
         fresh = [
             s.first_seconds
             for s in self._latencies.values()
@@ -58,12 +59,20 @@
         ]
         return statistics.median(fresh) if fresh else 0.0
 
-    def slowness(self, target: str, typical: float, now: float) -> float:
-        """Return how many times as long as others a target needs, 1 if about so."""
+    def slowness(self, target: str, median_seconds: float, now: float) -> float:
+        """Return the ratio of a target's latency to the median; 1 if it isn't slow.
+
+        Parameters
+        ----------
+        target : str
+        typical : float
+            Median latency of all targets, in seconds.
+        now : float
+        """
         known = self._latencies.get(target)
-        if known is None or not typical:
+        if known is None or not median_seconds:
             return 1.0
-        ratio = known.first_seconds / typical
+        ratio = known.first_seconds / median_seconds
         if ratio < MIN_SLOWNESS:
             return 1.0
         age = max(0.0, now - known.observed_at)
--- a/packages/swifttide_core/src/swifttide_core/admission/_target_queue.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_target_queue.py
@@ -1,18 +1,18 @@
-"""Admission and queueing at one target.
+"""Queue of calls in front of one target.
 
-Load pattern: a target is asked for more than it can serve: by a burst, by one hot
-customer, by long calls among short ones, or for good. Engines take every request
-in, know no priority and serve all of them late. Without this module everyone's calls
-time out together, a hot customer takes the target from the others, and calls that
-nobody waits for any more are still computed.
+A target can get more calls than it can serve: in a burst, from one customer with a high
+rate, from long calls among short ones, or permanently. Engines accept every request,
+know no priorities and serve all of them late. Without this module the calls of all
+customers time out together, one customer can take the target from the others, and
+calls are computed although their callers have given up.
 
-The holder of the target's slot therefore keeps the queue outside the engine, orders
-it by customer and program, and refuses at once what would wait too long. A refusal is
-final and says when to come back, from the measured drain rate. Calls of programs that
-are under way don't wait behind first calls: refusing them would waste what the program
-has used so far, while a refused first call costs nothing.
+One host holds the target and keeps its queue outside of the engine. It orders calls by
+customer and program, and refuses a call at once if the expected wait is too long. A
+refusal is final and contains a retry time that follows from the measured drain rate.
+Calls of programs that have started don't wait behind first calls: their refusal would
+waste the work done for the program so far, while a refused first call costs nothing.
 
-Grounds: figures in docs/measurements.md, choices in docs/design/admission.md.
+Figures are in docs/measurements.md, design choices in docs/design/admission.md.
 """
 
 import heapq
@@ -35,10 +35,12 @@
 from swifttide_core.verdicts import Reason, Refusal
 
 ENTRY_WINDOW_SECONDS = 60.0
-"""Time constant of the rate at which new programs enter; some stays of a program."""
+"""Time constant of the measured rate at which new programs enter; several times as long
+as a program stays at the target."""
 
 MAX_STALE_HEAP_ENTRIES = 64
-"""Entries out of date that a heap may hold beside twice the current ones."""
+"""Number of entries by which a heap may exceed twice the number of current entries
+before its outdated entries are removed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,22 +51,22 @@
 
 
 class TargetQueue:
-    """Queue in front of one target, run at the host that holds its slot.
+    """Queue in front of one target, kept by the host that holds the target.
 
     Parameters
     ----------
     cfg : AdmissionConfig
         Limits and time constants.
     limit : ConcurrencyLimit
-        Adaptive limit of calls at once.
+        Adaptive limit on concurrent calls.
     drain : DrainRate
         Measured drain rate.
 
     Notes
     -----
-    Every method takes ``now`` in monotonic seconds, never before that of the
-    call before. Methods that return decisions return those about OTHER calls, which
-    the caller must pass on to whoever waits.
+    Every method takes ``now`` in monotonic seconds, which must not decrease from one
+    method call to the next. Methods that return a tuple of decisions return those about
+    waiting calls, which the user of the queue must forward to their callers.
     """
 
     def __init__(
@@ -97,12 +99,12 @@
         cfg : AdmissionConfig
             Settings.
         max_concurrency : int
-            Upper bound of the adaptive limit, from the target's document.
+            Upper bound of the adaptive limit, from the target's configuration document.
 
         Raises
         ------
         ValueError
-            When a setting is out of its range.
+            If a setting is out of range.
         """
         check_admission_config(cfg)
         if max_concurrency < 1:
@@ -118,8 +120,8 @@
         now : float
             Monotonic seconds.
         ticket : Ticket
-            The call. Offered again while it runs or waits (its first answer was
-            lost on the way), it gets the same answer and no second place.
+            The call. If it is offered again while it runs or waits, because the first
+            answer was lost, it gets the same answer and is not counted twice.
         """
         check_ticket(ticket)
         self._observe(now)
@@ -141,17 +143,17 @@
     def release(
         self, now: float, ticket_id: str, outcome: Outcome
     ) -> tuple[Decision, ...]:
-        """End a grant and admit whoever goes next.
+        """End a grant and admit the calls that go next.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         ticket_id : str
-            Id of the call; unknown ids (expired before, or released twice because
-            an answer was lost) change nothing.
+            Id of the call. Unknown ids are ignored: the grant may have expired before,
+            or was released twice because an answer was lost.
         outcome : Outcome
-            What was measured of the call.
+            How the call ended.
         """
         self._observe(now)
         grant = self._grants.pop(ticket_id, None)
@@ -167,16 +169,16 @@
         return self._process_changes(now)
 
     def renew(self, now: float, ticket: Ticket) -> Admitted:
-        """Prolong the lease of a grant whose stream still runs.
+        """Extend the lease of a call that still runs.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         ticket : Ticket
-            The running call. A holder that took the target over does not know
-            it yet and counts it from now on; otherwise it would admit a full
-            limit of calls beside those that run.
+            The running call. A host that has taken over the target does not know the
+            call yet and counts it from now on. Otherwise it would admit calls up to the
+            limit in addition to those that run.
         """
         self._observe(now)
         known = self._grants.get(ticket.ticket_id)
@@ -187,7 +189,7 @@
         return self._store_grant(known.ticket, known.granted_at, now)
 
     def withdraw(self, now: float, ticket_id: str) -> tuple[Decision, ...]:
-        """Forget a call whose caller is gone; a running one counts as cancelled."""
+        """Remove a call whose caller has left; a running one counts as cancelled."""
         if ticket_id in self._grants:
             return self.release(now, ticket_id, Outcome(OutcomeStatus.CANCELLED))
         self._observe(now)
@@ -195,21 +197,22 @@
         return self._process_changes(now)
 
     def end_program(self, now: float, program: str) -> tuple[Decision, ...]:
-        """Give a program's room at the target to those that wait to start.
+        """Release a program's memory at the target for programs that wait to start.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         program : str
-            One that ended, moved to another target or whose cache was released.
+            Id of a program that ended, moved to another target, or whose cache was
+            released.
         """
         self._observe(now)
         self._working_set.remove(now, program)
         return self._process_changes(now)
 
     def report_load(self, now: float, report: LoadReport) -> tuple[Decision, ...]:
-        """Learn from the engine's late load report."""
+        """Adapt the limit and the known memory to the engine's load report."""
         self._observe(now)
         if report.cache_capacity_tokens > 0:
             self._working_set.set_capacity(report.cache_capacity_tokens)
@@ -217,11 +220,11 @@
         return self._process_changes(now)
 
     def tick(self, now: float) -> tuple[Decision, ...]:
-        """Expire grants, refuse what can't meet its deadline, admit what fits.
+        """Expire grants, refuse calls that can't meet their deadlines, admit others.
 
         Notes
         -----
-        To be called about once a second.
+        This method must be called about once per second.
         """
         self._observe(now)
         self._retry_schedule.remove_expired(now)
@@ -231,20 +234,22 @@
     def set_max_concurrency(
         self, now: float, max_concurrency: int
     ) -> tuple[Decision, ...]:
-        """Take over an edited upper bound of the limit."""
+        """Set the upper bound of the adaptive limit."""
         self._observe(now)
         self._limit.set_max(max_concurrency)
         return self._process_changes(now)
 
     def set_leaving(self, now: float, leaving: bool = True) -> tuple[Decision, ...]:
-        """Refuse all waiting and later calls, which may go to another target.
+        """Refuse all waiting and later calls, since the target is being removed.
+
+        The refused calls may be offered to another target.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         leaving : bool
-            False takes it back, when operators edit the target again.
+            False if operators have cancelled the removal; calls are accepted again.
         """
         self._observe(now)
         self._leaving = leaving
@@ -256,12 +261,12 @@
         )
 
     def drain_rate(self, now: float) -> float:
-        """Return the measured releases a second."""
+        """Return the measured releases per second."""
         self._observe(now)
         return self._drain.per_second(self._limit.value)
 
     def snapshot(self, now: float) -> QueueSnapshot:
-        """Return the state that other hosts route by."""
+        """Return the state by which other hosts choose a target."""
         return QueueSnapshot(
             measured_at=now,
             running=len(self._grants),
@@ -339,9 +344,9 @@
         return Admitted(ticket.ticket_id, expires_at)
 
     def _expire_grants(self, now: float) -> None:
-        # The host that held a grant can die without a release. Without expiry its
-        # grants would count as running for good and the target's limit would leak
-        # away until nothing is admitted.
+        # A host can fail without releasing its grants. If they did not expire, they
+        # would count as running forever and use up the target's limit until no call
+        # is admitted.
         while self._expiries and self._expiries[0][0] <= now:
             _, ticket_id = heapq.heappop(self._expiries)
             grant = self._grants.get(ticket_id)
@@ -360,8 +365,8 @@
         return decisions
 
     def _remember_latest_start(self, ticket: Ticket) -> None:
-        # Calls that left the queue stay in the heap until their deadline. Without
-        # compaction a busy target with long deadlines holds memory for each call
+        # Calls that left the queue stay in the heap until their deadline. If they were
+        # not removed, a busy target with long deadlines would use memory for each call
         # of the last minutes.
         entry = (self._latest_start(ticket), ticket.ticket_id)
         heapq.heappush(self._latest_starts, entry)
@@ -376,8 +381,8 @@
         return ticket.offered_at - steps * self._cfg.urgency_seconds
 
     def _latest_start(self, ticket: Ticket) -> float:
-        # A program that starts too late to finish would use its target and be given
-        # up all the same; callers in time would be refused for it.
+        # A program that starts too late to meet its deadline would use the target and
+        # still be abandoned, while programs that could finish in time are refused.
         needed = max(self._drain.service_seconds, ticket.expected_remaining_seconds)
         return ticket.deadline_at - needed
 
@@ -431,7 +436,7 @@
         excess = wait - self._longest_wait(now, ticket)
         refusal = Refusal(
             Reason.QUEUE_FULL,
-            f"the expected wait of {wait:.1f} s is too long",
+            f"the expected wait of {wait:.1f} s exceeds the maximum wait of the call",
             retry_after_seconds=self._retry_after(now, ticket, excess),
         )
         return Refused(ticket.ticket_id, refusal, try_elsewhere=True)
@@ -440,7 +445,7 @@
         wait = self._expected_wait(ticket)
         refusal = Refusal(
             Reason.DEADLINE,
-            "the deadline can't be met any more",
+            "the deadline of the program can no longer be met",
             retry_after_seconds=self._retry_after(now, ticket, wait),
         )
         return Refused(ticket.ticket_id, refusal)
@@ -448,7 +453,7 @@
     def _refuse_leaving(self, ticket: Ticket) -> Refused:
         refusal = Refusal(
             Reason.NO_TARGET,
-            "the target is leaving",
+            "the target is being removed and takes no new calls",
             retry_after_seconds=self._cfg.min_retry_seconds,
         )
         return Refused(ticket.ticket_id, refusal, try_elsewhere=True)
--- a/packages/swifttide_core/src/swifttide_core/admission/_target_rate_limiter.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_target_rate_limiter.py
@@ -1,13 +1,19 @@
-"""How many requests a target gets in a second.
-
-Load pattern: targets that have just started, or whose zone was empty, are idle while
-all others are busy, so that each new turn of all hosts goes to them.
-
-Without it: they crash under a rate that the others bear, and what they ran is lost.
-
-Grounds: a target may turn cold at any moment, and its entry tells so seconds later. So
-each target has a pace at all times, and a lower one while it is known to be cold. The
-rates of turns in a fleet that isn't short of targets lie below it.
+"""Limits on the requests per second that are sent to each target.
+
+A target is cold after it has started, or after its zone had no traffic. Cold targets
+are idle while all others are busy, so all hosts would send their new turns to them.
+They crash under a rate that warm targets sustain, and the requests that they run are
+lost.
+
+A target can become cold at any moment, and its entry in the target list shows this only
+seconds later. Each target therefore has a rate limit at all times, and a lower one
+while it is known to be cold. In a fleet with enough targets the rates stay below the
+limits.
+
+One host, the scheduler, places all turns of a service. The limits are divided such that
+the hosts that may send at the same time stay within the maximum together: the
+scheduler, its successor, hosts that are asked in its place, and hosts that reach no
+scheduler.
 """
 
 import math
@@ -16,67 +22,75 @@
 from dataclasses import dataclass
 
 WINDOW_SECONDS = 1.0
-"""Span over which requests are counted."""
+"""Length of the sliding window over which requests are counted."""
 
 MAX_RECORDED_REQUESTS = 1_024
-"""Requests remembered for each target, 8 KB."""
+"""Number of requests whose times are kept for each target, 8 KB."""
 
 COLD_SCHEDULER_FRACTION = 0.7
-"""Part of the rate that a cold target bears that one keeper uses: two keepers at once,
-and the shares of hosts without one, then stay within the bound together."""
+"""Fraction of the rate sustained by a cold target that one scheduler uses. Two
+schedulers at the same time and the hosts without one then stay within the maximum
+together."""
 
 WARM_SCHEDULER_FRACTION = 0.66
-"""Part of the bound that a target gets which isn't known to be cold: new keepers and
-hosts that find none send beyond it."""
+"""Fraction of the maximum rate that the scheduler uses for a target that isn't known to
+be cold. New schedulers and hosts without one send in addition to it."""
 
 NEW_SCHEDULER_FRACTION = 0.25
-"""Part of its pace that a host uses which hasn't been the keeper for long."""
+"""Fraction of a scheduler's limit that a host uses shortly after it became the
+scheduler."""
 
 SUBSTITUTES_FRACTION = 0.05
-"""Part that all hosts use together which are asked in the keeper's place."""
+"""Fraction of a scheduler's limit that all hosts asked in its place use together."""
 
 UNSCHEDULED_FRACTION = 0.08
-"""Part of the bound that all hosts without a keeper use together."""
+"""Fraction of the maximum rate that all hosts without a scheduler use together."""
 
 
 @dataclass(frozen=True, slots=True)
 class SchedulerStanding:
-    """How sure a host is that no other keeps the same order.
+    """Certainty of a host that no other host schedules the same service.
 
     Parameters
     ----------
-    part : float
-        Part of a target's pace that it uses.
+    fraction : float
+        Fraction of a scheduler's rate limit that the host may use.
     """
 
     fraction: float
 
     @classmethod
     def established(cls) -> "SchedulerStanding":
-        """Return that of a host which has been the keeper for a while."""
+        """Return the standing of a host that has been the scheduler for a while."""
         return cls(1.0)
 
     @classmethod
     def newly_elected(cls) -> "SchedulerStanding":
-        """Return that of a host whose predecessor may still place requests."""
+        """Return the standing of a host whose predecessor may still place requests."""
         return cls(NEW_SCHEDULER_FRACTION)
 
     @classmethod
     def substitute(cls, n_hosts: int) -> "SchedulerStanding":
-        """Return that of one of several hosts asked in the keeper's place."""
+        """Return the standing of one of several hosts asked in the scheduler's place.
+
+        Parameters
+        ----------
+        n_hosts : int
+            Number of these hosts.
+        """
         return cls(SUBSTITUTES_FRACTION / max(1, n_hosts))
 
 
 @dataclass(frozen=True, slots=True)
 class ColdTargetLimits:
-    """What a cold target of a service bears.
+    """Request rates that a cold target of a service sustains.
 
     Parameters
     ----------
-    bears_per_second : float
-        Requests that it bears; 0 for a service whose targets are never cold.
-    most_per_second : float
-        Bound on the requests that reach it in any second, from all hosts.
+    cold_requests_per_second : float
+        Rate that a cold target sustains; 0 for a service whose targets are never cold.
+    max_requests_per_second : float
+        Upper bound of the requests that reach a target in any second, from all hosts.
     """
 
     cold_requests_per_second: float = 0.0
@@ -84,20 +98,22 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether there is anything to keep to."""
+        """Whether the targets of the service can be cold, so that limits apply."""
         return self.cold_requests_per_second > 0.0
 
     def scheduler_limit(
         self, is_cold: bool, standing: "SchedulerStanding", heard_fraction: float
     ) -> float:
-        """Return the requests a second that a keeper may send to a target.
+        """Return the requests per second that a scheduler may send to a target.
 
         Parameters
         ----------
         is_cold : bool
-        standing : KeeperStanding
-        heard_part : float
-            Part of all hosts that the keeper hears: others may have another keeper.
+            Whether the target is known to be cold.
+        standing : SchedulerStanding
+        heard_fraction : float
+            Fraction of all hosts from which the scheduler gets messages; in a network
+            partition the others may have another scheduler.
         """
         if is_cold:
             return (
@@ -111,38 +127,38 @@
         )
 
     def unscheduled_host_limit(self, n_hosts: int) -> float:
-        """Return the requests a second that a host without a keeper may send."""
+        """Return the requests per second that a host without a scheduler may send."""
         return UNSCHEDULED_FRACTION * self.max_requests_per_second / max(1, n_hosts)
 
 
 class TargetRateLimiter:
-    """Counts what was sent to each target of late.
+    """Sliding-window rate limiter for the requests to each target.
 
-    Times are monotonic seconds.
+    All times named ``now`` are monotonic seconds.
     """
 
     def __init__(self):
         self._sent: dict[str, deque[float]] = {}
 
     def record(self, target: str, now: float) -> None:
-        """Count a request."""
+        """Record a request that is sent to a target."""
         sent = self._sent.get(target)
         if sent is None:
             sent = self._sent[target] = deque(maxlen=MAX_RECORDED_REQUESTS)
         sent.append(now)
 
     def forget(self, target: str) -> None:
-        """Drop what is known of a target that has left."""
+        """Remove the records of a target that was removed."""
         self._sent.pop(target, None)
 
     def wait_seconds(self, target: str, limit: float, now: float) -> float:
-        """Return the seconds until a target may get one more; 0 if it may now.
+        """Return the seconds until a target may get another request; 0 if it may now.
 
         Parameters
         ----------
         target : str
         limit : float
-            Requests a second.
+            Requests per second; infinite seconds are returned for 0.
         now : float
         """
         if limit <= 0.0:
@@ -162,8 +178,9 @@
     Parameters
     ----------
     targets : tuple of str
+        Ids of these targets.
     wait_seconds : float
-        Until one of the others may; meaningful without targets only.
+        Time until the first target may get a request; 0 if there is one now.
     """
 
     targets: tuple[str, ...]
@@ -173,7 +190,15 @@
     def within_limits(
         cls, limiter: TargetRateLimiter, limits: Mapping[str, float], now: float
     ) -> "ReadyTargets":
-        """Return which targets may get a request within their limits."""
+        """Return the targets that may get a request within their limits.
+
+        Parameters
+        ----------
+        limiter : TargetRateLimiter
+        limits : mapping of str to float
+            Requests per second that each target may get.
+        now : float
+        """
         waits = {t: limiter.wait_seconds(t, limit, now) for t, limit in limits.items()}
         ready = tuple(t for t, seconds in waits.items() if seconds <= 0.0)
         return cls(ready, min(waits.values(), default=0.0))
--- a/packages/swifttide_core/src/swifttide_core/admission/_ticket.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_ticket.py
@@ -1,4 +1,4 @@
-"""One call that asks for admission at a target."""
+"""Request of one call for admission at a target."""
 
 import math
 from dataclasses import dataclass
@@ -6,39 +6,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """What the queue must know of a call.
+    """Properties of a call by which the queue admits and orders it.
 
     Parameters
     ----------
     ticket_id : str
-        Unique at the target; the request id of the call.
+        Request id of the call, unique at the target.
     customer : str
-        Who pays.
+        Customer who is charged for the call.
     program : str
         Id of the program.
     weight : float
-        Share of the customer against others, from the profile.
+        Weight of the customer in the fair share of the target, from the profile.
     urgency : int
-        0 is normal; larger goes first within the customer.
+        0 is normal; calls with larger values go first within the customer.
     deadline_at : float
-        Time by which the program should be finished; infinite for none.
+        Time, in monotonic seconds, by which the program should be finished; infinite
+        for none.
     expected_tokens : float
-        Cost of the call by :func:`call_cost`, with the output that is expected.
+        Expected cost of the call, in the units of :func:`call_cost`.
     attained_tokens : float
-        Cost that the program was served so far; 0 at its first call.
+        Cost of the program's earlier calls; 0 at its first call.
     context_tokens : float
-        Length of the history after the call, which the target then holds.
+        Length of the program's history after the call, which the target then holds.
     expected_context_tokens : float
-        Length that the history is expected to reach, learned for the profile.
+        Expected final length of the history, learned for the profile.
     expected_remaining_seconds : float
-        Time that the program is expected to need from this call to its end, tool
-        pauses included, learned for the profile; 0 when unknown.
+        Expected time from this call to the end of the program, including pauses for
+        tools, learned for the profile; 0 when unknown.
     new_history : bool
-        Whether it is the first call of a sub-agent, whose history the target would
-        hold beside the parent's.
+        Whether this is the first call of a sub-agent, whose history the target holds
+        in addition to that of the parent.
     offered_at : float
-        Time at which the call entered the system, kept when it is offered to
-        another target, so that moving loses no place.
+        Time at which the call entered the system. It is kept when the call is offered
+        to another target, so that the call does not lose its position in the order.
     """
 
     ticket_id: str
@@ -57,27 +58,31 @@
 
     @property
     def final_context_tokens(self) -> float:
-        """Memory that the program will need in the end, as far as known."""
+        """Expected memory for the program's history at its end, in tokens."""
         return max(self.context_tokens, self.expected_context_tokens)
 
     @property
     def may_be_held_back(self) -> bool:
-        """Whether it may be held back until the target has room for its program."""
+        """Whether the call may have to wait for memory for its history at the target.
+
+        True for the first calls of programs and sub-agents, unless they are urgent.
+        """
         return self.urgency <= 0 and (self.new_history or not self.under_way)
 
     @property
     def under_way(self) -> bool:
-        """Whether a refusal would waste what the program has used so far."""
+        """Whether the program was served before; a refusal would waste that work."""
         return self.attained_tokens > 0
 
 
 def check_ticket(ticket: Ticket) -> Ticket:
-    """Return the ticket when the queue can order it.
+    """Return the ticket if it is valid.
 
     Raises
     ------
     ValueError
-        States the field, the expected range and the value found.
+        If a field is out of range; the message names the field, the expected range
+        and the value found.
     """
     if not ticket.weight > 0:
         raise ValueError(f"weight must be > 0, got {ticket.weight!r}")
--- a/packages/swifttide_core/src/swifttide_core/admission/_turn_scheduler.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_turn_scheduler.py
@@ -1,20 +1,24 @@
-"""One order of turns in front of a service's targets, for all hosts.
-
-Load pattern: hundreds of hosts each send a turn or so a second to the same few targets,
-and a burst brings several times what the targets can finish.
-
-Without it: each host chooses by what the others told a second ago, ten times as long as
-a turn takes, so that all send to the target that was idle then; and a bound on new
-programs follows a burst only when the targets' queues are full.
-
-Grounds: one host sees all turns of a service before they are sent, and hears when they
-end. New programs are let in while there are places, those under way always. A program
-that was turned away has less of its time left each time it comes back: one that would
-end late is refused for longer, so that places go to those that can still be in time.
-What targets bear is learned from how long turns take, beside how long they take while
-targets are mostly empty: engines are slower the fuller they are, and past some point
-all programs end late. A target that is slower than the others to its first event counts
-as longer, and is tried again as what is known of it grows old.
+"""Central scheduling of all turns of one service onto its targets.
+
+Hundreds of hosts each send about one turn per second to the same few targets, and a
+burst brings several times what the targets can finish. If each host chose targets
+itself, it would use counts that the others reported a second ago, ten times as long as
+a turn takes. All hosts would then send to the target that was idle at that time, and a
+bound on new programs would react to a burst only when the targets' queues are full.
+
+Therefore one host schedules all turns of a service: it sees them before they are sent
+and is told when they end. It decides as follows.
+
+- New programs are admitted while targets have free places; a place is one turn that a
+  target runs concurrently. Programs that have started are always admitted.
+- A refused program has less time left at each retry. One that would end late gets a
+  longer retry time, so that places go to programs that can still end in time.
+- The number of outstanding turns is bounded, since engines are slower the fuller they
+  are, and beyond some load all programs end late. The bound is learned by comparing the
+  duration of recent turns with the duration at low load.
+- A turn goes to the target with the lowest cost. The cost of a target that takes longer
+  to the first event than the others is increased; it is tried again as its measurements
+  get old.
 """
 
 from collections import OrderedDict
@@ -36,39 +40,42 @@
 from swifttide_core.forwarding import Candidate, TargetEntry, choose_target
 
 MAX_ENTRY_DELAY_FRACTION = 0.25
-"""Part of a program's time that may pass until it is let in: its aim leaves about a
-third of it for all waiting on the way."""
+"""Fraction of a program's time to its deadline that may pass until it is admitted. The
+deadline leaves about a third of that time for all waits of the program."""
 
 ENTRY_HOLD_SECONDS = 0.5
-"""A program that was let in counts as a turn for so long, if none comes."""
+"""Time for which an admitted program counts as one outstanding turn until its first
+turn is placed."""
 
 PROGRAM_RETENTION_SECONDS = 10.0
-"""Programs are remembered for so long after their last turn."""
+"""Time for which a program is remembered after its last request for admission or
+placement."""
 
-MAX_PROGRAMS = 20_000
-"""Programs that are remembered, some 200 bytes each."""
+MAX_REMEMBERED_PROGRAMS = 20_000
+"""Maximum number of remembered programs, about 200 bytes each."""
 
 STARTUP_SECONDS = 3.0
-"""For so long after its start an order also counts turns that others have told of."""
+"""Time after its start during which a scheduler also counts the requests that other
+hosts have reported, since it has not seen the turns placed before."""
 
 RECONCILE_MIN_AGE_SECONDS = 0.6
-"""A turn that its host no longer tells of has ended; a younger one may not have been
-sent when it told."""
+"""Minimum age of a turn that is removed because its host no longer reports it. A
+younger turn may not have been sent yet when the host reported."""
 
 LOW_LOAD_FRACTION = 0.35
-"""Part of the places below which turns don't hold each other up."""
+"""Fraction of all places below which turns don't slow each other down."""
 
 
 @dataclass(frozen=True, slots=True)
 class TurnId:
-    """A turn at the host that asks for its place.
+    """Identity of a turn, assigned by the host that requests its placement.
 
     Parameters
     ----------
     host, boot : str
-        Address and process of the host.
+        Address of the host and identity of its process.
     number : int
-        Of the turn there.
+        Number of the turn in that process.
     """
 
     host: str
@@ -78,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """A turn that is to be sent.
+    """Request for a target to which a turn is sent.
 
     Parameters
     ----------
@@ -86,15 +93,15 @@
     program : str
         Key of its program; empty without one.
     zone : str
-        Of its host.
-    subject : str
-        What its prompt begins with.
-    last : str
-        Target of the turn before; empty where it isn't known.
-    seconds : float
-        Until nobody waits for it any more.
-    connected : frozenset of str
-        Targets to which its host has an idle connection.
+        Zone of the requesting host.
+    prompt_prefix : str
+        Beginning of its prompt; targets may have it in their cache.
+    previous_target : str
+        Id of the target of the program's previous turn; empty if unknown.
+    remaining_seconds : float
+        Time after which no caller waits for the turn any more.
+    connected_targets : frozenset of str
+        Ids of targets to which the requesting host has an idle connection.
     """
 
     turn: TurnId
@@ -108,12 +115,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementDeferred:
-    """All targets have had what they may get in this second.
+    """No target may get another request now without exceeding its rate limit.
 
     Parameters
     ----------
-    seconds : float
-        Until one may get more.
+    retry_seconds : float
+        Time until a target may get another request.
     """
 
     retry_seconds: float
@@ -134,14 +141,15 @@
 
 
 class TurnScheduler:
-    """Places the turns of one service.
+    """Admits the programs of one service and assigns their turns to targets.
 
     Parameters
     ----------
     now : float
-        Monotonic seconds, as everywhere here.
-    told : callable
-        Takes a target's id and returns the requests there that other hosts told of.
+        Current time in monotonic seconds, as in all methods.
+    reported_outstanding : callable
+        Takes a target's id and returns the number of outstanding requests there that
+        other hosts have reported.
     """
 
     def __init__(self, now: float, reported_outstanding: Callable[[str], float]):
@@ -164,20 +172,21 @@
         now: float,
         limits: Mapping[str, float] | None = None,
     ) -> ProgramAdmitted | ProgramRefused:
-        """Let a new program in, or turn it away.
+        """Admit or refuse a program; one that has started is always admitted.
 
         Parameters
         ----------
         program : str
+            Key of the program.
         seconds : float or None
-            Until it should be finished; None if it doesn't say.
+            Time until the program's deadline; None if it has none.
         targets : iterable of str
             Ids of the targets in service.
-        places : int
-            Requests that they run at once.
+        capacity : int
+            Number of requests that these targets run concurrently.
         now : float
         limits : mapping of str to float, optional
-            Requests a second that each target may get.
+            Requests per second that each target may get, by id; no limit by default.
         """
         known = self._touch_program(program, seconds or 0.0, now)
         if known.is_admitted:
@@ -204,15 +213,15 @@
         now: float,
         limits: Mapping[str, float] | None = None,
     ) -> TargetEntry | PlacementDeferred | None:
-        """Return the target that a turn goes to, None without any.
+        """Return the target that a turn is sent to; None if there are no targets.
 
         Parameters
         ----------
-        request : PlaceQuestion
+        request : PlacementRequest
         targets : iterable of TargetEntry
         now : float
         limits : mapping of str to float, optional
-            Requests a second that each target may get.
+            Requests per second that each target may get, by id; no limit by default.
         """
         if request.program:
             self._touch_program(request.program, 0.0, now).is_admitted = True
@@ -239,8 +248,8 @@
             request.previous_target or None,
         )
         if found is not None:
-            n_under_way = sum(self.outstanding(t.id, now) for t in targets)
-            is_low_load = n_under_way < LOW_LOAD_FRACTION * sum(
+            n_outstanding = sum(self.outstanding(t.id, now) for t in targets)
+            is_low_load = n_outstanding < LOW_LOAD_FRACTION * sum(
                 t.capacity for t in targets
             )
             turns = self._turns.setdefault(found.id, {})
@@ -259,17 +268,17 @@
         now: float,
         is_complete: bool = True,
     ) -> None:
-        """Note that a turn is no longer at its target.
+        """Record that a turn is no longer at its target; an unknown turn is ignored.
 
         Parameters
         ----------
         turn : TurnId
         target : str
         first_seconds : float or None
-            From its sending to its first event; None if there was none.
+            Time from sending the turn to its first event; None if there was none.
         now : float
-        is_whole : bool
-            Whether its answer came to its end.
+        is_complete : bool
+            Whether the answer was received to its end.
         """
         sent = self._turns.get(target, {}).pop(turn, None)
         if sent is None:
@@ -282,7 +291,18 @@
         self._latencies.observe(target, first_seconds, now)
 
     def reconcile_host(self, host: str, counts: dict[str, int], now: float) -> None:
-        """Drop turns of a host that it no longer tells of: their end was lost."""
+        """Remove turns that their host no longer reports.
+
+        The notice of the end of such a turn was lost.
+
+        Parameters
+        ----------
+        host : str
+            Address of the reporting host.
+        counts : dict of str to int
+            Number of the host's outstanding requests at each target.
+        now : float
+        """
         for target, turns in self._turns.items():
             own = [
                 (sent.placed_at, turn)
@@ -295,13 +315,16 @@
                 del turns[turn]
 
     def forget_target(self, target: str) -> None:
-        """Drop what is known of a target that has left."""
+        """Remove all state of a target that was removed."""
         self._turns.pop(target, None)
         self._latencies.forget(target)
         self._rate_limiter.forget(target)
 
     def load(self, targets: Iterable[str], now: float) -> float:
-        """Return the turns at targets, and programs that are about to send one."""
+        """Return the number of outstanding turns, including those about to be placed.
+
+        A program that was just admitted counts as one turn until it sends one.
+        """
         for program, until in list(self._entering_until.items()):
             if until <= now:
                 del self._entering_until[program]
@@ -310,7 +333,7 @@
         )
 
     def outstanding(self, target: str, now: float) -> float:
-        """Return the turns at a target."""
+        """Return the number of turns at a target that have not ended or expired."""
         turns = self._turns.setdefault(target, {})
         for turn, sent in list(turns.items()):
             if sent.expires_at <= now:
@@ -321,24 +344,25 @@
         return count
 
     def slowness(self, target: str, now: float) -> float:
-        """Return how many times as long as the others a target needs."""
+        """Return the ratio of a target's latency to the median, 1 if it isn't slow."""
         return self._latencies.slowness(
             target, self._latencies.median_seconds(now), now
         )
 
     def _any_target_ready(self, limits, now) -> bool:
-        """Whether some target may get a request now."""
+        """Return whether some target may get a request within its limit now."""
         return limits is None or bool(
             ReadyTargets.within_limits(self._rate_limiter, limits, now).targets
         )
 
     def _cost(self, target, median_seconds, now) -> float:
-        """Return a target's load in turns; a slow one counts as longer."""
+        """Return a target's cost in turns; it is higher for slow targets."""
         count = self.outstanding(target.id, now)
         slowness = self._latencies.slowness(target.id, median_seconds, now)
         return count * slowness + target.capacity * (slowness - 1.0)
 
     def _touch_program(self, program, seconds, now) -> _KnownProgram:
+        """Return the record of a program, and remove records that are too old."""
         known = self._programs.get(program)
         if known is None:
             known = self._programs[program] = _KnownProgram(seconds, now)
@@ -348,7 +372,7 @@
         while self._programs:
             oldest = next(iter(self._programs.values()))
             is_old = now - oldest.last_seen_at > PROGRAM_RETENTION_SECONDS
-            if not is_old and len(self._programs) <= MAX_PROGRAMS:
+            if not is_old and len(self._programs) <= MAX_REMEMBERED_PROGRAMS:
                 break
             self._programs.popitem(last=False)
         return known
--- a/packages/swifttide_core/src/swifttide_core/admission/_working_set.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_working_set.py
@@ -1,14 +1,14 @@
-"""Programs whose histories a target holds, against the memory that it has.
+"""Histories of programs that a target holds, compared with the memory that it has.
 
-Load pattern: more programs under way than an engine has memory for. Between two calls
-of a program others push its history out; it is computed again at the next call, which
-takes engine time, so that programs stay longer and still more of them are under way.
-In the bench seven of ten tokens were then computed again and the engines finished a
-third of what they could.
+If more programs are active than an engine has memory for, the history of a program is
+evicted between two of its calls and computed again at the next one. This takes engine
+time, so that programs stay longer and even more of them are active (thrashing). In the
+benchmark, seven of ten tokens were then computed again and the engines finished a third
+of what they could.
 
-New programs therefore enter a busy target only while the histories held there, each
-counted at the length that it is expected to reach, fit into its memory. Calls of
-programs that are under way always pass.
+A new program is therefore admitted to a busy target only while the histories held
+there, each counted at its expected final length, fit into the target's memory. Calls of
+programs that have started are never held back.
 
 References
 ----------
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 
 SMOOTHING = 0.05
-"""Share of the newest program in the mean length and stay."""
+"""Weight of the newest program in the mean history length and the mean stay."""
 
 
 @dataclass(slots=True)
@@ -31,17 +31,17 @@
 
 
 class WorkingSet:
-    """Histories held at one target.
+    """Histories that one target holds, in tokens.
 
     Parameters
     ----------
     fill : float
-        Part of the memory that expected lengths may add up to.
+        Fraction of the target's memory up to which expected lengths may add up.
     idle_seconds : float
-        Time after which a program that was not seen counts as gone; a lost
-        notice would otherwise take its room away for good.
+        Time without a call after which a program counts as gone. Otherwise a lost
+        notice of a program's end would reserve its memory for good.
     initial_stay_seconds : float
-        Stay of a program assumed until one has ended.
+        Time from first call to end that is assumed until a program has ended.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
 
     @property
     def is_capacity_known(self) -> bool:
-        """Whether the target's memory is known."""
+        """Whether the size of the target's memory is known."""
         return self._capacity > 0
 
     @property
@@ -67,17 +67,20 @@
 
     @property
     def program_capacity(self) -> float:
-        """Programs that fit when all have the expected length."""
+        """Number of programs of mean length that fit into the memory, at least 1."""
         return max(
             1.0, self._fill_fraction * self._capacity / max(self._mean_tokens, 1.0)
         )
 
     def set_capacity(self, tokens: float) -> None:
-        """Take over the memory that the target reports."""
+        """Set the memory that the target reports, in tokens."""
         self._capacity = tokens
 
     def has_room(self, tokens: float) -> bool:
-        """Return whether a program of that expected length fits."""
+        """Return whether a program of the given expected length fits.
+
+        A target that holds no history takes a program of any length.
+        """
         if not self.is_capacity_known or not self._histories:
             return True
         return self._reserved_tokens + tokens <= self._fill_fraction * self._capacity
@@ -85,16 +88,18 @@
     def set_history(
         self, now: float, program: str, tokens: float, expected_tokens: float
     ) -> None:
-        """Count a program's history, at least at its expected length.
+        """Reserve memory for a program's history.
+
+        The larger one of the current and the expected final length is reserved.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         program : str
-            Its id.
+            Id of the program.
         tokens, expected_tokens : float
-            Present and expected final length.
+            Current and expected final length of the history.
         """
         held = self._histories.get(program)
         if held is None:
@@ -108,7 +113,7 @@
         self._histories.move_to_end(program)
 
     def remove(self, now: float, program: str) -> bool:
-        """Forget a program that ended or left; return whether it was held."""
+        """Remove a program that ended or left; return whether it was held here."""
         held = self._histories.pop(program, None)
         if held is None:
             return False
@@ -122,7 +127,7 @@
         return True
 
     def remove_idle(self, now: float) -> None:
-        """Forget programs that were not seen for the idle time."""
+        """Remove programs that had no call for the idle time."""
         while self._histories:
             program, held = next(iter(self._histories.items()))
             if held.last_seen_at + self._idle_seconds > now:
--- a/packages/swifttide_core/src/swifttide_core/admission/tests/test_connections.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/tests/test_connections.py
@@ -1,7 +1,7 @@
-"""Connections that hosts keep to targets, where turns of a fleet are few for each pair.
+"""Reuse of idle connections to targets in a fleet with few turns per host and target.
 
-Ninety hosts see a program every four seconds each; a connection that isn't used for as
-long is closed.
+Each of ninety hosts starts a program about every four seconds. Connections that are not
+used for four seconds are closed.
 """
 
 import heapq
@@ -26,7 +26,14 @@
 
 
 class Simulation:
-    """Programs at hosts that keep connections, placed by one order."""
+    """Simulation of hosts that keep idle connections, with one scheduler.
+
+    Parameters
+    ----------
+    seed : int
+    sends_connected_targets : bool
+        Whether hosts tell the scheduler to which targets they have idle connections.
+    """
 
     def __init__(self, seed: int, sends_connected_targets: bool):
         self._rng = random.Random(seed)
@@ -43,7 +50,7 @@
         self.max_outstanding = 0.0
 
     def run(self) -> None:
-        """Play all programs."""
+        """Simulate all programs."""
         events, now = [], 0.0
         while (
             now := now + self._rng.expovariate(PROGRAMS_PER_SECOND)
@@ -68,7 +75,7 @@
         connected = frozenset(
             t.id for t in self._targets if self._idle_connections(host, t.id, now)
         )
-        question = PlacementRequest(
+        request = PlacementRequest(
             TurnId(str(host), "b", number),
             "",
             "abc"[host % 3],
@@ -77,11 +84,11 @@
             4.0,
             connected if self._sends_connected_targets else frozenset(),
         )
-        target = self._scheduler.place_turn(question, self._targets, now).id
-        kept = self._idle_connections(host, target, now)
+        target = self._scheduler.place_turn(request, self._targets, now).id
+        idle = self._idle_connections(host, target, now)
         self.n_turns += 1
-        if kept:
-            kept.pop()
+        if idle:
+            idle.pop()
         else:
             self.n_opened += 1
         count = self._scheduler.outstanding(target, now)
@@ -89,17 +96,17 @@
         return target
 
     def _idle_connections(self, host, target, now) -> list[float]:
-        kept = self._idle_since.get((host, target), [])
-        kept[:] = [t for t in kept if now - t < IDLE_TIMEOUT_SECONDS]
-        return kept
+        idle = self._idle_since.get((host, target), [])
+        idle[:] = [t for t in idle if now - t < IDLE_TIMEOUT_SECONDS]
+        return idle
 
 
 class TestConnections:
     @pytest.mark.parametrize("seed", range(3))
     def test_turns_prefer_targets_with_idle_connections(self, seed):
         """Guards against a new connection for each turn of a large fleet."""
-        told, untold = Simulation(seed, True), Simulation(seed, False)
-        told.run()
-        untold.run()
-        assert told.n_opened < 0.8 * untold.n_opened
-        assert told.max_outstanding <= untold.max_outstanding + 2
+        informed, uninformed = Simulation(seed, True), Simulation(seed, False)
+        informed.run()
+        uninformed.run()
+        assert informed.n_opened < 0.8 * uninformed.n_opened
+        assert informed.max_outstanding <= uninformed.max_outstanding + 2
--- a/packages/swifttide_core/src/swifttide_core/admission/tests/test_target_queue.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/tests/test_target_queue.py
@@ -1,4 +1,4 @@
-"""Admission at one target, judged by what the callers are told."""
+"""Decisions of a target's queue, as seen by callers."""
 
 import math
 
@@ -42,8 +42,10 @@
         assert [type(a) for a in answers] == [Admitted, Admitted, Queued]
 
     def test_repeated_offer_gets_the_same_grant(self):
-        """The answer to an offer is lost and the entry host asks again. With two
-        places for one call, the target would idle until the second lapsed.
+        """Guards against two grants for one call.
+
+        The answer to an offer is lost and the entry host offers the call again. A
+        second grant would leave capacity of the target idle until the grant expires.
         """
         queue = make_queue()
         first = queue.offer(0.0, make_ticket("t0"))
@@ -51,9 +53,10 @@
         assert queue.snapshot(0.1).running == 1
 
     def test_call_with_too_long_expected_wait_is_refused(self):
-        """A burst of more calls than the target can serve. Callers beyond what it
-        drains in time hear so at once, with when to come back, and nothing of
-        theirs runs.
+        """Guards against calls that wait in vain in a burst.
+
+        Calls that the target can't serve in time are refused at once with a retry time,
+        and none of them runs.
         """
         queue = make_queue()
         answers = [queue.offer(0.0, make_ticket(f"t{i}")) for i in range(100)]
@@ -65,8 +68,10 @@
             assert 0 < answer.refusal.retry_after_seconds <= CFG.max_retry_seconds
 
     def test_retry_after_follows_the_drain_rate(self):
-        """Two targets are full, one of them ten times slower. A fixed time to come
-        back would send callers into the slow one's full queue again.
+        """Guards against a retry time that doesn't depend on the target's speed.
+
+        Two targets are full and one of them is ten times slower. With a fixed retry
+        time callers of the slow one would return to a full queue.
         """
         cfg = AdmissionConfig(max_retry_seconds=1000.0)
         waits = []
@@ -90,8 +95,10 @@
         assert isinstance(answer, Refused)
 
     def test_started_programs_wait_where_new_ones_are_refused(self):
-        """Overload. If calls in the middle of programs were refused as easily as
-        first calls, most programs would be cut off half way and nothing finish.
+        """Guards against programs that are cut off in overload.
+
+        If later calls of programs were refused as easily as first calls, most programs
+        would be cut off half way and none would finish.
         """
         queue = make_queue()
         for i in range(100):
@@ -109,8 +116,10 @@
 
 class TestRelease:
     def test_customer_with_fewest_tokens_goes_next(self):
-        """One customer has fifty calls waiting when another sends its first. The
-        small one goes next instead of behind the fifty.
+        """Guards against a customer with many calls that delays the others.
+
+        One customer has many calls waiting when another sends its first, which goes
+        next instead of last.
         """
         queue = make_queue()
         for i in range(12):
@@ -136,8 +145,10 @@
 
 class TestTick:
     def test_grant_of_a_dead_host_expires(self):
-        """The host that holds two grants dies. Without expiry the target would look
-        full for good and everyone who waits would be refused.
+        """Guards against grants of a failed host that are never released.
+
+        Without expiry the target would count as full forever and all waiting calls
+        would be refused.
         """
         queue = make_queue()
         for i in range(3):
@@ -154,8 +165,10 @@
         assert queue.snapshot(200.0).running == 1
 
     def test_new_holder_counts_calls_that_run(self):
-        """The host that held the target's queue dies and another takes over. Not
-        knowing of the calls that run, it would admit as many again beside them.
+        """Guards against twice the limit after another host takes over the queue.
+
+        The new host does not know the running calls until they are renewed, and would
+        otherwise admit as many again.
         """
         queue = make_queue()
         for i in range(2):
@@ -191,8 +204,10 @@
         assert queue.snapshot(10.0).limit < 16
 
     def test_report_from_before_a_decrease_does_not_count_again(self):
-        """Reports come seconds late. If each one that still tells of the old limit
-        lowered it again, one burst would bring the limit down to one.
+        """Guards against repeated decreases for one congestion.
+
+        Load reports arrive seconds late. If each report that was measured under the old
+        limit lowered the limit again, one burst would reduce it to one.
         """
         cfg = AdmissionConfig(cooldown_seconds=0.0)
         queue = make_queue(cfg, 16)
@@ -215,8 +230,10 @@
         )
     )
     def test_each_call_is_decided_once(self, steps):
-        """Whatever comes in which order, a call is admitted or refused once, and the
-        grants never exceed the target's upper bound.
+        """Checks random sequences of operations.
+
+        Each call is admitted or refused once, and the grants never exceed the target's
+        upper bound.
         """
         queue = make_queue(AdmissionConfig(), 4)
         now, final, running = 0.0, {}, set()
--- a/packages/swifttide_core/src/swifttide_core/admission/tests/test_target_rate_limiter.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/tests/test_target_rate_limiter.py
@@ -1,4 +1,4 @@
-"""The limiter of targets under the load that its module names."""
+"""Rate limits of targets, with cold targets and with bunched requests."""
 
 import math
 import random
@@ -26,7 +26,7 @@
 class TestTargetRateLimiter:
     @pytest.mark.parametrize("limit", [0.25, 1.0, 7.0, 23.5])
     def test_no_window_holds_more_than_the_limit(self, limit):
-        """Guards against requests that bunch around the end of a second."""
+        """Guards against bursts across the boundary of two counting windows."""
         rng, limiter, now, sent = random.Random(7), TargetRateLimiter(), 0.0, []
         while now < 60.0:
             now += rng.expovariate(60.0)
@@ -55,16 +55,18 @@
 
 class TestColdTargetLimits:
     def test_sum_of_concurrent_limits_stays_within_the_maximum(self):
-        """Guards against limits that are each scheduler and too much together."""
-        new, standin = (
+        """Guards against limits whose sum exceeds the maximum rate of a target."""
+        new, substitute = (
             SchedulerStanding.newly_elected(),
             SchedulerStanding.substitute(12),
         )
         for is_cold in (True, False):
-            keepers = [SchedulerStanding.established(), *[standin] * 12]
-            sums = sum(COLD_LIMITS.scheduler_limit(is_cold, k, 1.0) for k in keepers)
+            schedulers = [SchedulerStanding.established(), *[substitute] * 12]
+            total = sum(
+                COLD_LIMITS.scheduler_limit(is_cold, s, 1.0) for s in schedulers
+            )
             assert (
-                sums + 90 * COLD_LIMITS.unscheduled_host_limit(90)
+                total + 90 * COLD_LIMITS.unscheduled_host_limit(90)
                 <= COLD_LIMITS.max_requests_per_second
             )
         successor = COLD_LIMITS.scheduler_limit(True, new, 1.0)
@@ -78,37 +80,41 @@
         )
 
     def test_partitioned_schedulers_share_the_cold_rate(self):
-        """Guards against a keeper on each side of a cut that uses all of it."""
-        settled = SchedulerStanding.established()
-        whole = COLD_LIMITS.scheduler_limit(True, settled, 1.0)
+        """Guards against two schedulers that both use the full cold rate.
+
+        In a network partition each side has a scheduler of its own.
+        """
+        established = SchedulerStanding.established()
+        whole = COLD_LIMITS.scheduler_limit(True, established, 1.0)
         parts = [
-            COLD_LIMITS.scheduler_limit(True, settled, part) for part in (0.25, 0.75)
+            COLD_LIMITS.scheduler_limit(True, established, part)
+            for part in (0.25, 0.75)
         ]
         assert sum(parts) == pytest.approx(whole)
 
 
 class TestSchedulerWithRateLimits:
-    """An order whose targets have all had what they may get."""
+    """A scheduler whose targets have all reached their rate limits."""
 
     def scheduler_at_limit(self):
-        found = [TargetEntry("t0", "s", "ip", 1, "a", 6)]
+        targets = [TargetEntry("t0", "s", "ip", 1, "a", 6)]
         scheduler = TurnScheduler(0.0, lambda target: 0.0)
         limits = {"t0": 2.0}
         for number in range(2):
-            question = PlacementRequest(TurnId("h", "b", number), "", "a", "", "", 4.0)
-            assert scheduler.place_turn(question, found, 10.0, limits) is not None
-        return scheduler, found, limits
+            request = PlacementRequest(TurnId("h", "b", number), "", "a", "", "", 4.0)
+            assert scheduler.place_turn(request, targets, 10.0, limits) is not None
+        return scheduler, targets, limits
 
     def test_deferred_turn_gets_retry_time(self):
-        scheduler, found, limits = self.scheduler_at_limit()
-        question = PlacementRequest(TurnId("h", "b", 9), "", "a", "", "", 4.0)
-        assert scheduler.place_turn(question, found, 10.5, limits) == PlacementDeferred(
-            0.5
-        )
-        assert scheduler.place_turn(question, found, 11.0, limits) == found[0]
+        scheduler, targets, limits = self.scheduler_at_limit()
+        request = PlacementRequest(TurnId("h", "b", 9), "", "a", "", "", 4.0)
+        assert scheduler.place_turn(
+            request, targets, 10.5, limits
+        ) == PlacementDeferred(0.5)
+        assert scheduler.place_turn(request, targets, 11.0, limits) == targets[0]
 
     def test_new_program_is_refused_when_no_target_is_ready(self):
-        """Guards against programs that begin where no turn may be sent."""
+        """Guards against programs that start when no turn may be sent."""
         scheduler, _, limits = self.scheduler_at_limit()
         answer = scheduler.admit_program("p", 2.0, ("t0",), 6, 10.5, limits)
         assert isinstance(answer, ProgramRefused)
--- a/packages/swifttide_core/src/swifttide_core/admission/tests/test_working_set.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/tests/test_working_set.py
@@ -1,4 +1,4 @@
-"""New programs wait while a target's memory is spoken for."""
+"""Waiting of new programs while a target's memory is reserved by others."""
 
 from swifttide_core.admission import (
     AdmissionConfig,
@@ -15,7 +15,7 @@
 
 
 def make_full_queue():
-    """Return a queue whose two programs have 9,600 of 10,000 tokens, both running."""
+    """Return a queue with two running programs that reserve 9,600 of 10,000 tokens."""
     cfg = AdmissionConfig(spare_fraction=0.25, initial_stay_seconds=5.0)
     queue = TargetQueue.from_config(cfg, 4)
     queue.report_load(0.0, LoadReport(0.0, 0, 0, cache_capacity_tokens=CAPACITY))
@@ -31,8 +31,10 @@
 
 class TestNewPrograms:
     def test_new_program_waits_until_another_ends(self):
-        """More programs start than the engine has memory for. Taken in, each pushes
-        the others' histories out, and all compute theirs again at every turn.
+        """Guards against more programs than the engine has memory for.
+
+        If all were admitted, they would evict each other's histories, which are then
+        computed again at every turn.
         """
         queue = make_full_queue()
         assert isinstance(queue.offer(1.0, make_ticket("c")), Queued)
@@ -45,22 +47,26 @@
         assert isinstance(queue.offer(1.0, later), Admitted)
 
     def test_urgent_calls_are_not_held_back(self):
-        """A counter tablet asks for stock while weekly boxes wait for room."""
+        """Guards against urgent calls behind programs that wait for memory."""
         queue = make_full_queue()
         queue.offer(1.0, make_ticket("c"))
         assert isinstance(queue.offer(1.0, make_ticket("d", urgency=1)), Admitted)
 
     def test_first_calls_of_sub_agents_are_held_back(self):
-        """One program starts forty sub-agents. Passing as calls under way, they would
-        push out the histories of every other program.
+        """Guards against sub-agents that evict the histories of other programs.
+
+        A program can start forty sub-agents. If their first calls counted as calls of a
+        program that has started, they would never be held back.
         """
         queue = make_full_queue()
         sub_agent = make_ticket("s", attained_tokens=500.0, new_history=True)
         assert isinstance(queue.offer(1.0, sub_agent), Queued)
 
     def test_idle_target_admits_new_programs(self):
-        """All programs of a target pause for their tools. It would idle until one of
-        them ends, although computing histories again costs nobody anything.
+        """Guards against a target that idles while all of its programs run tools.
+
+        Without this rule the target would idle until one of them ends, although it has
+        time to compute histories again without delaying any call.
         """
         queue = make_full_queue()
         queue.offer(1.0, make_ticket("c"))
@@ -76,8 +82,10 @@
 
 class TestForgetIdle:
     def test_idle_program_is_removed(self):
-        """The notice that a program ended is lost. Its room would be taken for good,
-        and after some hundred such losses no new program would enter.
+        """Guards against memory that stays reserved after a lost notice.
+
+        If the notice of a program's end is lost, its memory would stay reserved
+        forever. After some hundred lost notices no new program would be admitted.
         """
         held = WorkingSet(
             fill_fraction=1.0, idle_seconds=60.0, initial_stay_seconds=5.0
