--- a/packages/swifttide_core/src/swifttide_core/admission/_drain_rate.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_drain_rate.py
@@ -18,7 +18,7 @@
 """Weight of the estimate by Little's law, as seconds in which calls wait; about one
 service time."""
 
-SERVICE_SMOOTHING = 0.1
+NEWEST_CALL_WEIGHT = 0.1
 """Weight of the newest call in the mean service time and the mean size of calls."""
 
 
@@ -86,12 +86,12 @@
             self._busy_releases += 1.0
         if self._tokens_per_call is None:
             self._tokens_per_call = tokens
-        self._tokens_per_call += SERVICE_SMOOTHING * (tokens - self._tokens_per_call)
+        self._tokens_per_call += NEWEST_CALL_WEIGHT * (tokens - self._tokens_per_call)
         if not self._measured:
             self._service_seconds = service_seconds
             self._measured = True
             return
-        self._service_seconds += SERVICE_SMOOTHING * (
+        self._service_seconds += NEWEST_CALL_WEIGHT * (
             service_seconds - self._service_seconds
         )
 
--- a/packages/swifttide_core/src/swifttide_core/admission/_fair_queue.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_fair_queue.py
@@ -44,10 +44,10 @@
 
 @dataclass(slots=True)
 class _CustomerLane:
-    calls: list[tuple[float, int, str]] = field(default_factory=list)
-    tokens: dict[int, float] = field(default_factory=dict)
+    call_heap: list[tuple[float, int, str]] = field(default_factory=list)
+    tokens_by_urgency: dict[int, float] = field(default_factory=dict)
     n_queued: int = 0
-    stamp: int = 0
+    heap_sequence: int = 0
 
 
 @dataclass(slots=True)
@@ -80,7 +80,7 @@
     def __init__(self) -> None:
         self._customers: dict[str, _CustomerState] = {}
         self._customer_heaps: tuple[list, list] = ([], [])
-        self._idle: list[tuple[float, str]] = []
+        self._idle_customers: list[tuple[float, str]] = []
         self._tickets: dict[str, tuple[Ticket, int]] = {}
         self._sequence = itertools.count()
         self._virtual_tokens = 0.0
@@ -118,10 +118,10 @@
         state = self._activate(ticket)
         lane = state.lanes[lane_of(ticket)]
         sequence = next(self._sequence)
-        heapq.heappush(lane.calls, (score, sequence, ticket.ticket_id))
+        heapq.heappush(lane.call_heap, (score, sequence, ticket.ticket_id))
         self._tickets[ticket.ticket_id] = (ticket, sequence)
-        tokens = lane.tokens.get(ticket.urgency, 0.0)
-        lane.tokens[ticket.urgency] = tokens + ticket.expected_tokens
+        tokens = lane.tokens_by_urgency.get(ticket.urgency, 0.0)
+        lane.tokens_by_urgency[ticket.urgency] = tokens + ticket.expected_tokens
         lane.n_queued += 1
         self._n_waiting_first_calls += lane_of(ticket)
         if lane.n_queued == 1:
@@ -134,7 +134,7 @@
             return None
         lane = self._customers[name].lanes[Lane.ENTRY]
         self._skip_stale(lane)
-        return self._tickets[lane.calls[0][2]][0]
+        return self._tickets[lane.call_heap[0][2]][0]
 
     def pop(self, entry_allowed: bool = True) -> Ticket | None:
         """Remove and return the call that goes next, and charge its customer.
@@ -200,7 +200,7 @@
         return sum(
             tokens
             for lane in state.lanes[: lane_of(ticket) + 1]
-            for urgency, tokens in lane.tokens.items()
+            for urgency, tokens in lane.tokens_by_urgency.items()
             if urgency >= ticket.urgency
         )
 
@@ -237,12 +237,14 @@
         if state.is_active:
             return
         self.active_weight = max(0.0, self.active_weight - state.weight)
-        heapq.heappush(self._idle, (state.counter, name))
+        heapq.heappush(self._idle_customers, (state.counter, name))
         self._forget_idle()
 
     def _forget_idle(self) -> None:
-        while self._idle and self._idle[0][0] <= self._virtual_tokens:
-            _, name = heapq.heappop(self._idle)
+        while (
+            self._idle_customers and self._idle_customers[0][0] <= self._virtual_tokens
+        ):
+            _, name = heapq.heappop(self._idle_customers)
             state = self._customers.get(name)
             if state is None or state.is_active:
                 continue
@@ -255,33 +257,33 @@
                 self._push_customer(name, state, lane)
 
     def _push_customer(self, name: str, state: _CustomerState, lane: Lane) -> None:
-        stamp = next(self._sequence)
-        state.lanes[lane].stamp = stamp
-        heapq.heappush(self._customer_heaps[lane], (state.counter, stamp, name))
+        heap_sequence = next(self._sequence)
+        state.lanes[lane].heap_sequence = heap_sequence
+        heapq.heappush(self._customer_heaps[lane], (state.counter, heap_sequence, name))
 
     def _top_customer(self, lane: Lane) -> str | None:
         heap = self._customer_heaps[lane]
         while heap:
-            _, stamp, name = heap[0]
+            _, heap_sequence, name = heap[0]
             state = self._customers.get(name)
             if state is not None:
                 waiting = state.lanes[lane]
-                if waiting.n_queued and waiting.stamp == stamp:
+                if waiting.n_queued and waiting.heap_sequence == heap_sequence:
                     return name
             heapq.heappop(heap)
         return None
 
     def _skip_stale(self, lane: _CustomerLane) -> None:
         while True:
-            _, sequence, ticket_id = lane.calls[0]
+            _, sequence, ticket_id = lane.call_heap[0]
             entry = self._tickets.get(ticket_id)
             if entry is not None and entry[1] == sequence:
                 return
-            heapq.heappop(lane.calls)
+            heapq.heappop(lane.call_heap)
 
     def _pop_call(self, state: _CustomerState, lane: Lane) -> Ticket:
         self._skip_stale(state.lanes[lane])
-        _, _, ticket_id = heapq.heappop(state.lanes[lane].calls)
+        _, _, ticket_id = heapq.heappop(state.lanes[lane].call_heap)
         ticket = self._tickets.pop(ticket_id)[0]
         self._remove_from_totals(ticket, state)
         return ticket
@@ -289,11 +291,11 @@
     def _remove_from_totals(self, ticket: Ticket, state: _CustomerState) -> None:
         lane = state.lanes[lane_of(ticket)]
         lane.n_queued -= 1
-        lane.tokens[ticket.urgency] -= ticket.expected_tokens
+        lane.tokens_by_urgency[ticket.urgency] -= ticket.expected_tokens
         self._n_waiting_first_calls -= lane_of(ticket)
         if lane.n_queued == 0:
-            lane.tokens.clear()
-            lane.calls.clear()
+            lane.tokens_by_urgency.clear()
+            lane.call_heap.clear()
 
     def _charge(self, ticket: Ticket, state: _CustomerState) -> None:
         self._virtual_tokens = max(self._virtual_tokens, state.counter)
--- a/packages/swifttide_core/src/swifttide_core/admission/_target_queue.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_target_queue.py
@@ -133,11 +133,11 @@
         if self._may_start_now(ticket):
             self._queue.start(ticket)
             return self._grant_call(now, ticket)
-        wait = self._expected_wait(ticket)
-        if wait > self._longest_wait(now, ticket):
+        wait = self._expected_wait_seconds(ticket)
+        if wait > self._max_wait_seconds(now, ticket):
             return self._refuse_full(now, ticket, wait)
         self._queue.push(ticket, self._score(ticket))
-        self._remember_latest_start(ticket)
+        self._push_latest_start(ticket)
         return Queued(ticket.ticket_id, wait)
 
     def release(
@@ -275,7 +275,9 @@
             limit=self._limit.value,
             drain_per_second=self.drain_rate(now),
             service_seconds=self._drain.service_seconds,
-            entry_wait_seconds=self._entry_wait(self._queue.n_waiting_first_calls),
+            entry_wait_seconds=self._program_entry_wait_seconds(
+                self._queue.n_waiting_first_calls
+            ),
             leaving=self._leaving,
         )
 
@@ -288,7 +290,7 @@
         if grant is not None:
             return Admitted(ticket.ticket_id, grant.expires_at)
         if ticket.ticket_id in self._queue:
-            return Queued(ticket.ticket_id, self._expected_wait(ticket))
+            return Queued(ticket.ticket_id, self._expected_wait_seconds(ticket))
         return None
 
     def _process_changes(self, now: float) -> tuple[Decision, ...]:
@@ -321,7 +323,7 @@
         return len(self._grants) < self._cfg.spare_fraction * self._limit.value
 
     def _grant_call(self, now: float, ticket: Ticket) -> Admitted:
-        if not ticket.under_way:
+        if not ticket.is_program_started:
             self._program_entry_rate.observe_entry(
                 self._queue.n_waiting_first_calls > 0
             )
@@ -364,11 +366,11 @@
                 decisions.append(self._refuse_deadline(now, ticket))
         return decisions
 
-    def _remember_latest_start(self, ticket: Ticket) -> None:
+    def _push_latest_start(self, ticket: Ticket) -> None:
         # Calls that left the queue stay in the heap until their deadline. If they were
         # not removed, a busy target with long deadlines would use memory for each call
         # of the last minutes.
-        entry = (self._latest_start(ticket), ticket.ticket_id)
+        entry = (self._latest_start_at(ticket), ticket.ticket_id)
         heapq.heappush(self._latest_starts, entry)
         if len(self._latest_starts) > 2 * len(self._queue) + MAX_STALE_HEAP_ENTRIES:
             self._latest_starts = [
@@ -377,28 +379,30 @@
             heapq.heapify(self._latest_starts)
 
     def _score(self, ticket: Ticket) -> float:
-        steps = ticket.urgency + (1 if ticket.under_way else 0)
+        steps = ticket.urgency + (1 if ticket.is_program_started else 0)
         return ticket.offered_at - steps * self._cfg.urgency_seconds
 
-    def _latest_start(self, ticket: Ticket) -> float:
+    def _latest_start_at(self, ticket: Ticket) -> float:
         # A program that starts too late to meet its deadline would use the target and
         # still be abandoned, while programs that could finish in time are refused.
         needed = max(self._drain.service_seconds, ticket.expected_remaining_seconds)
         return ticket.deadline_at - needed
 
-    def _longest_wait(self, now: float, ticket: Ticket) -> float:
-        return min(self._cfg.max_wait_seconds, self._latest_start(ticket) - now)
+    def _max_wait_seconds(self, now: float, ticket: Ticket) -> float:
+        return min(self._cfg.max_wait_seconds, self._latest_start_at(ticket) - now)
 
-    def _expected_wait(self, ticket: Ticket) -> float:
+    def _expected_wait_seconds(self, ticket: Ticket) -> float:
         ahead = self._queue.tokens_ahead(ticket)
         first = self._drain.service_seconds / self._limit.value
         wait = ahead / self._customer_tokens_per_second(ticket) + first
-        if ticket.under_way or not ticket.may_be_held_back:
+        if ticket.is_program_started or not ticket.may_be_held_back:
             return wait
         n_ahead = self._queue.first_calls_ahead(ticket)
-        return max(wait, self._entry_wait(n_ahead / self._queue.share(ticket)))
+        return max(
+            wait, self._program_entry_wait_seconds(n_ahead / self._queue.share(ticket))
+        )
 
-    def _entry_wait(self, n_ahead: float) -> float:
+    def _program_entry_wait_seconds(self, n_ahead: float) -> float:
         if not self._working_set.is_capacity_known:
             return 0.0
         if n_ahead == 0 and (self._is_mostly_idle() or self._working_set.has_room(0.0)):
@@ -408,7 +412,7 @@
             self._working_set.program_capacity
         )
 
-    def _entry_spacing(self, ticket: Ticket) -> float:
+    def _program_entry_spacing_seconds(self, ticket: Ticket) -> float:
         if not self._working_set.is_capacity_known:
             return 0.0
         rate = self._program_entry_rate.per_second(self._working_set.program_capacity)
@@ -426,27 +430,27 @@
                 return outcome.tokens
         return ticket.expected_tokens
 
-    def _retry_after(self, now: float, ticket: Ticket, wait: float) -> float:
+    def _retry_after_seconds(self, now: float, ticket: Ticket, wait: float) -> float:
         spacing = ticket.expected_tokens / self._customer_tokens_per_second(ticket)
         if ticket.may_be_held_back:
-            spacing = max(spacing, self._entry_spacing(ticket))
+            spacing = max(spacing, self._program_entry_spacing_seconds(ticket))
         return self._retry_schedule.reserve(now, ticket.customer, wait, spacing)
 
     def _refuse_full(self, now: float, ticket: Ticket, wait: float) -> Refused:
-        excess = wait - self._longest_wait(now, ticket)
+        excess = wait - self._max_wait_seconds(now, ticket)
         refusal = Refusal(
             Reason.QUEUE_FULL,
             f"the expected wait of {wait:.1f} s exceeds the maximum wait of the call",
-            retry_after_seconds=self._retry_after(now, ticket, excess),
+            retry_after_seconds=self._retry_after_seconds(now, ticket, excess),
         )
         return Refused(ticket.ticket_id, refusal, try_elsewhere=True)
 
     def _refuse_deadline(self, now: float, ticket: Ticket) -> Refused:
-        wait = self._expected_wait(ticket)
+        wait = self._expected_wait_seconds(ticket)
         refusal = Refusal(
             Reason.DEADLINE,
             "the deadline of the program can no longer be met",
-            retry_after_seconds=self._retry_after(now, ticket, wait),
+            retry_after_seconds=self._retry_after_seconds(now, ticket, wait),
         )
         return Refused(ticket.ticket_id, refusal)
 
--- a/packages/swifttide_core/src/swifttide_core/admission/_ticket.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_ticket.py
@@ -67,10 +67,10 @@
 
         True for the first calls of programs and sub-agents, unless they are urgent.
         """
-        return self.urgency <= 0 and (self.new_history or not self.under_way)
+        return self.urgency <= 0 and (self.new_history or not self.is_program_started)
 
     @property
-    def under_way(self) -> bool:
+    def is_program_started(self) -> bool:
         """Whether the program was served before; a refusal would waste that work."""
         return self.attained_tokens > 0
 
--- a/packages/swifttide_core/src/swifttide_core/admission/_turn_scheduler.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_turn_scheduler.py
@@ -155,7 +155,7 @@
     def __init__(self, now: float, reported_outstanding: Callable[[str], float]):
         self._started_at = now
         self._reported_outstanding = reported_outstanding
-        self._turns: dict[str, dict[TurnId, _PlacedTurn]] = {}
+        self._outstanding_turns: dict[str, dict[TurnId, _PlacedTurn]] = {}
         self._programs: OrderedDict[str, _KnownProgram] = OrderedDict()
         self._latencies = TargetLatencies()
         self._rate_limiter = TargetRateLimiter()
@@ -252,7 +252,7 @@
             is_low_load = n_outstanding < LOW_LOAD_FRACTION * sum(
                 t.capacity for t in targets
             )
-            turns = self._turns.setdefault(found.id, {})
+            turns = self._outstanding_turns.setdefault(found.id, {})
             turns[request.turn] = _PlacedTurn(
                 now, now + request.remaining_seconds, is_low_load
             )
@@ -280,7 +280,7 @@
         is_complete : bool
             Whether the answer was received to its end.
         """
-        sent = self._turns.get(target, {}).pop(turn, None)
+        sent = self._outstanding_turns.get(target, {}).pop(turn, None)
         if sent is None:
             return
         if is_complete:
@@ -303,7 +303,7 @@
             Number of the host's outstanding requests at each target.
         now : float
         """
-        for target, turns in self._turns.items():
+        for target, turns in self._outstanding_turns.items():
             own = [
                 (sent.placed_at, turn)
                 for turn, sent in turns.items()
@@ -316,7 +316,7 @@
 
     def forget_target(self, target: str) -> None:
         """Remove all state of a target that was removed."""
-        self._turns.pop(target, None)
+        self._outstanding_turns.pop(target, None)
         self._latencies.forget(target)
         self._rate_limiter.forget(target)
 
@@ -334,7 +334,7 @@
 
     def outstanding(self, target: str, now: float) -> float:
         """Return the number of turns at a target that have not ended or expired."""
-        turns = self._turns.setdefault(target, {})
+        turns = self._outstanding_turns.setdefault(target, {})
         for turn, sent in list(turns.items()):
             if sent.expires_at <= now:
                 del turns[turn]
--- a/packages/swifttide_core/src/swifttide_core/admission/_working_set.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_working_set.py
@@ -18,7 +18,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-SMOOTHING = 0.05
+NEWEST_PROGRAM_WEIGHT = 0.05
 """Weight of the newest program in the mean history length and the mean stay."""
 
 
@@ -118,12 +118,12 @@
         if held is None:
             return False
         self._reserved_tokens -= held.reserved_tokens
-        self._stay_seconds += SMOOTHING * (
+        self._stay_seconds += NEWEST_PROGRAM_WEIGHT * (
             now - held.first_seen_at - self._stay_seconds
         )
         if self._mean_tokens == 0.0:
             self._mean_tokens = held.tokens
-        self._mean_tokens += SMOOTHING * (held.tokens - self._mean_tokens)
+        self._mean_tokens += NEWEST_PROGRAM_WEIGHT * (held.tokens - self._mean_tokens)
         return True
 
     def remove_idle(self, now: float) -> None:
--- a/packages/swifttide_core/src/swifttide_core/admission/tests/test_turn_scheduler.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/tests/test_turn_scheduler.py
@@ -144,8 +144,8 @@
         The scheduler is compared with hosts that choose by counts that are up to a
         second old.
         """
-        assert full_target_fraction(seed, by_order=True) < 0.02
-        assert full_target_fraction(seed, by_order=False) > 0.1
+        assert full_target_fraction(seed, by_scheduler=True) < 0.02
+        assert full_target_fraction(seed, by_scheduler=False) > 0.1
 
 
 class TestOutstandingTurnBound:
@@ -211,7 +211,7 @@
         assert scheduler.slowness("t1", now) == 1.0
 
 
-def full_target_fraction(seed, by_order):
+def full_target_fraction(seed, by_scheduler):
     """Return the fraction of 3000 simulated turns that are sent to a full target."""
     rng = random.Random(seed)
     targets = make_targets(20)
@@ -228,7 +228,7 @@
         if now - reported_at >= 1.0:
             reported, reported_at = dict(outstanding), now
         host = rng.choice(hosts)
-        if by_order:
+        if by_scheduler:
             target = scheduler.place_turn(make_request(number, host), targets, now).id
         else:
             candidates = [Candidate(t, reported[t.id]) for t in targets]
