--- a/packages/swifttide_core/src/swifttide_core/admission/_program_gate.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_program_gate.py
@@ -128,8 +128,10 @@
                 -MAX_LOAD_ERROR, min(MAX_LOAD_ERROR, SETPOINT_REQUESTS_PER_PLACE - load)
             )
             scale = 1.0 if load < IDLE_REQUESTS_PER_PLACE else self._admitted_fraction
-            share = self._admitted_fraction + GAIN_PER_SECOND * seconds * error * scale
-            self._admitted_fraction = min(1.0, max(MIN_ADMITTED_FRACTION, share))
+            fraction = (
+                self._admitted_fraction + GAIN_PER_SECOND * seconds * error * scale
+            )
+            self._admitted_fraction = min(1.0, max(MIN_ADMITTED_FRACTION, fraction))
         self._updated_at = now
 
     def decide(self, load: float, program: str) -> ProgramAdmitted | ProgramRefused:
--- a/packages/swifttide_core/src/swifttide_core/admission/_target_rate_limiter.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_target_rate_limiter.py
@@ -1,9 +1,9 @@
 """Limits on the requests per second that are sent to each target.
 
-A target is cold after it has started, or after its zone had no traffic. Cold targets
-are idle while all others are busy, so all hosts would send their new turns to them.
-They crash under a rate that warm targets sustain, and the requests that they run are
-lost.
+A target is cold for a while after it has started, or after operators had emptied its
+zone of traffic. Cold targets are idle while all others are busy, so all hosts would
+send their new turns to them. They crash under a rate that warm targets sustain, and the
+requests that they run are lost.
 
 A target can become cold at any moment, and its entry in the target list shows this only
 seconds later. Each target therefore has a rate limit at all times, and a lower one
@@ -41,7 +41,8 @@
 scheduler."""
 
 SUBSTITUTES_FRACTION = 0.05
-"""Fraction of a scheduler's limit that all hosts asked in its place use together."""
+"""Fraction of a scheduler's limit that is divided among all hosts that may be asked in
+place of the scheduler."""
 
 UNSCHEDULED_FRACTION = 0.08
 """Fraction of the maximum rate that all hosts without a scheduler use together."""
