--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
@@ -268,7 +268,7 @@
 
         Returns
         -------
-        Place, PlaceLater or None
+        Place, PlacementDeferred or None
             The assigned target, the seconds until one may be assigned, or None where
             this host has to choose.
         """
