--- a/packages/swifttide_core/src/swifttide_core/admission/_fair_queue.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_fair_queue.py
@@ -1,15 +1,16 @@
-"""Order of waiting calls: customers by virtual token counter, then by score.
+"""Weighted fair queue of the calls that wait for one target.
 
-Load pattern: one customer sends several times its rate, or programs of a hundred
-calls, while others send a call now and then. First come first served gives the
-engine to whoever sends most; counting calls instead of tokens gives it to
-whoever sends the longest calls.
+One customer can send several times its rate, or programs of a hundred calls, while
+others send a call now and then. First come, first served would give the engine to the
+customer with the most calls; fairness by calls instead of tokens would give it to the
+customer with the longest calls.
 
-Each customer has a counter of tokens served over its weight, and the smallest
-counter goes next. A customer that comes back from a pause starts at the present
-counter, so that silence saves up no claim. Expected tokens are charged at the start
-and corrected at the end. First calls of programs wait in a lane of their own, with
-the same counters, since they may be held back.
+Each customer has a virtual counter of the tokens served, divided by its weight. The
+customer with the smallest counter goes next, and its calls are ordered by a score. A
+customer that returns after a pause starts at the current virtual time, so that it can't
+accumulate claims while it sends nothing. Expected tokens are charged at the start of a
+call and corrected at its end. First calls of programs wait in a lane of their own, with
+the same counters, since they may be held back for lack of memory at the target.
 
 References
 ----------
@@ -18,9 +19,9 @@
 
 Notes
 -----
-A heap of calls for each customer and lane, and a heap of customers for each lane:
-push, pop and withdraw cost O(log n) amortised. Entries that are out of date are
-skipped when they reach the top.
+There is a heap of calls for each customer and lane, and a heap of customers for each
+lane. Push, pop and withdraw take amortised O(log n) time. Outdated entries are skipped
+when they reach the top of a heap.
 """
 
 import heapq
@@ -32,21 +33,21 @@
 
 
 class Lane(IntEnum):
-    """Where a call waits."""
+    """Lane of the queue in which a call waits."""
 
     READY = 0
-    """Calls of programs under way, and urgent ones: never held back."""
+    """Calls of started programs, and urgent calls; they are never held back."""
 
     ENTRY = 1
-    """First calls of programs, which may have to wait for room."""
+    """First calls of programs and sub-agents, which may have to wait for memory."""
 
 
 @dataclass(slots=True)
 class _CustomerLane:
-    calls: list[tuple[float, int, str]] = field(default_factory=list)
-    tokens: dict[int, float] = field(default_factory=dict)
+    call_heap: list[tuple[float, int, str]] = field(default_factory=list)
+    tokens_by_urgency: dict[int, float] = field(default_factory=dict)
     n_queued: int = 0
-    stamp: int = 0
+    heap_sequence: int = 0
 
 
 @dataclass(slots=True)
@@ -68,7 +69,7 @@
 
 
 class FairQueue:
-    """Waiting calls of one target in the order in which they go next.
+    """Calls that wait for one target, in the order in which they are admitted.
 
     Attributes
     ----------
@@ -78,12 +79,12 @@
 
     def __init__(self) -> None:
         self._customers: dict[str, _CustomerState] = {}
-        self._order: tuple[list, list] = ([], [])
-        self._idle: list[tuple[float, str]] = []
+        self._customer_heaps: tuple[list, list] = ([], [])
+        self._idle_customers: list[tuple[float, str]] = []
         self._tickets: dict[str, tuple[Ticket, int]] = {}
         self._sequence = itertools.count()
-        self._virtual_now = 0.0
-        self._n_entering = 0
+        self._virtual_tokens = 0.0
+        self._n_waiting_first_calls = 0
         self.active_weight = 0.0
 
     def __len__(self) -> int:
@@ -91,63 +92,65 @@
         return len(self._tickets)
 
     def __contains__(self, ticket_id: str) -> bool:
-        """Return whether the call waits."""
+        """Return whether the call is waiting."""
         return ticket_id in self._tickets
 
     @property
-    def n_entering(self) -> int:
-        """First calls that wait to enter."""
-        return self._n_entering
+    def n_waiting_first_calls(self) -> int:
+        """Number of waiting calls in the entry lane."""
+        return self._n_waiting_first_calls
 
     @property
     def n_customers(self) -> int:
-        """Customers that are remembered."""
+        """Number of customers whose counters are kept."""
         return len(self._customers)
 
     def push(self, ticket: Ticket, score: float) -> None:
-        """Add a call.
+        """Add a waiting call.
 
         Parameters
         ----------
         ticket : Ticket
             The call.
         score : float
-            Smaller goes first within the customer and lane.
+            Calls with smaller scores go first within their customer and lane.
         """
         state = self._activate(ticket)
         lane = state.lanes[lane_of(ticket)]
         sequence = next(self._sequence)
-        heapq.heappush(lane.calls, (score, sequence, ticket.ticket_id))
+        heapq.heappush(lane.call_heap, (score, sequence, ticket.ticket_id))
         self._tickets[ticket.ticket_id] = (ticket, sequence)
-        tokens = lane.tokens.get(ticket.urgency, 0.0)
-        lane.tokens[ticket.urgency] = tokens + ticket.expected_tokens
+        tokens = lane.tokens_by_urgency.get(ticket.urgency, 0.0)
+        lane.tokens_by_urgency[ticket.urgency] = tokens + ticket.expected_tokens
         lane.n_queued += 1
-        self._n_entering += lane_of(ticket)
+        self._n_waiting_first_calls += lane_of(ticket)
         if lane.n_queued == 1:
-            self._place(ticket.customer, state, lane_of(ticket))
+            self._push_customer(ticket.customer, state, lane_of(ticket))
 
-    def peek_entry(self) -> Ticket | None:
-        """Return the first call that would enter next."""
-        name = self._top(Lane.ENTRY)
+    def peek_first_call(self) -> Ticket | None:
+        """Return the next call of the entry lane; None if it is empty."""
+        name = self._top_customer(Lane.ENTRY)
         if name is None:
             return None
         lane = self._customers[name].lanes[Lane.ENTRY]
         self._skip_stale(lane)
-        return self._tickets[lane.calls[0][2]][0]
+        return self._tickets[lane.call_heap[0][2]][0]
 
     def pop(self, entry_allowed: bool = True) -> Ticket | None:
-        """Take the call that goes next and charge its customer.
+        """Remove and return the call that goes next, and charge its customer.
+
+        None is returned if no call may go.
 
         Parameters
         ----------
         entry_allowed : bool
-            Whether a first call may be taken.
+            Whether a call of the entry lane may be taken.
         """
         chosen, counter = None, float("inf")
         for lane in Lane:
             if lane is Lane.ENTRY and not entry_allowed:
                 continue
-            name = self._top(lane)
+            name = self._top_customer(lane)
             if name is not None and self._customers[name].counter < counter:
                 chosen, counter = (name, lane), self._customers[name].counter
         if chosen is None:
@@ -159,55 +162,55 @@
         return ticket
 
     def withdraw(self, ticket_id: str) -> Ticket | None:
-        """Remove a waiting call; return None when it does not wait."""
+        """Remove and return a waiting call; return None if it does not wait."""
         entry = self._tickets.pop(ticket_id, None)
         if entry is None:
             return None
         ticket = entry[0]
         state = self._customers[ticket.customer]
-        self._uncount(ticket, state)
+        self._remove_from_totals(ticket, state)
         self._deactivate(ticket.customer, state)
         return ticket
 
     def start(self, ticket: Ticket) -> None:
-        """Charge a call that never waited."""
+        """Charge the customer for a call that starts without waiting."""
         self._charge(ticket, self._activate(ticket))
 
     def finish(self, ticket: Ticket, tokens: float) -> None:
-        """Correct the charge of a call that ended.
+        """Replace the expected cost of a call that ended by its actual cost.
 
         Parameters
         ----------
         ticket : Ticket
             The call.
         tokens : float
-            Tokens that were really computed.
+            Actual cost of the call, in the units of `call_cost`.
         """
         state = self._customers[ticket.customer]
         state.n_in_flight -= 1
         state.counter += (tokens - ticket.expected_tokens) / ticket.weight
-        self._place_waiting(ticket.customer, state)
+        self._push_waiting_customer(ticket.customer, state)
         self._deactivate(ticket.customer, state)
 
     def tokens_ahead(self, ticket: Ticket) -> float:
-        """Return the customer's waiting tokens that go before the call."""
+        """Return the expected tokens of the customer's calls that go before it."""
         state = self._customers.get(ticket.customer)
         if state is None:
             return 0.0
         return sum(
             tokens
             for lane in state.lanes[: lane_of(ticket) + 1]
-            for urgency, tokens in lane.tokens.items()
+            for urgency, tokens in lane.tokens_by_urgency.items()
             if urgency >= ticket.urgency
         )
 
-    def entries_ahead(self, ticket: Ticket) -> int:
-        """Return the customer's waiting first calls."""
+    def first_calls_ahead(self, ticket: Ticket) -> int:
+        """Return the number of the customer's calls in the entry lane."""
         state = self._customers.get(ticket.customer)
         return 0 if state is None else state.lanes[Lane.ENTRY].n_queued
 
     def share(self, ticket: Ticket) -> float:
-        """Return the part of the target that the customer gets, in (0, 1]."""
+        """Return the fraction of the target that the customer gets, in (0, 1]."""
         state = self._customers.get(ticket.customer)
         others = self.active_weight
         if state is not None and state.is_active:
@@ -215,91 +218,93 @@
         return ticket.weight / (ticket.weight + max(0.0, others))
 
     def tickets(self) -> tuple[Ticket, ...]:
-        """Return the waiting calls in the order in which they came."""
+        """Return the waiting calls in the order of their arrival."""
         return tuple(ticket for ticket, _ in self._tickets.values())
 
     def _activate(self, ticket: Ticket) -> _CustomerState:
         state = self._customers.get(ticket.customer)
         if state is None:
-            state = _CustomerState(counter=self._virtual_now)
+            state = _CustomerState(counter=self._virtual_tokens)
             self._customers[ticket.customer] = state
         if not state.is_active:
             state.weight = ticket.weight
             self.active_weight += ticket.weight
         if state.n_queued == 0:
-            state.counter = max(state.counter, self._virtual_now)
+            state.counter = max(state.counter, self._virtual_tokens)
         return state
 
     def _deactivate(self, name: str, state: _CustomerState) -> None:
         if state.is_active:
             return
         self.active_weight = max(0.0, self.active_weight - state.weight)
-        heapq.heappush(self._idle, (state.counter, name))
+        heapq.heappush(self._idle_customers, (state.counter, name))
         self._forget_idle()
 
     def _forget_idle(self) -> None:
-        while self._idle and self._idle[0][0] <= self._virtual_now:
-            _, name = heapq.heappop(self._idle)
+        while (
+            self._idle_customers and self._idle_customers[0][0] <= self._virtual_tokens
+        ):
+            _, name = heapq.heappop(self._idle_customers)
             state = self._customers.get(name)
             if state is None or state.is_active:
                 continue
-            if state.counter <= self._virtual_now:
+            if state.counter <= self._virtual_tokens:
                 del self._customers[name]
 
-    def _place_waiting(self, name: str, state: _CustomerState) -> None:
+    def _push_waiting_customer(self, name: str, state: _CustomerState) -> None:
         for lane in Lane:
             if state.lanes[lane].n_queued:
-                self._place(name, state, lane)
+                self._push_customer(name, state, lane)
 
-    def _place(self, name: str, state: _CustomerState, lane: Lane) -> None:
-        stamp = next(self._sequence)
-        state.lanes[lane].stamp = stamp
-        heapq.heappush(self._order[lane], (state.counter, stamp, name))
+    def _push_customer(self, name: str, state: _CustomerState, lane: Lane) -> None:
+        heap_sequence = next(self._sequence)
+        state.lanes[lane].heap_sequence = heap_sequence
+        heapq.heappush(self._customer_heaps[lane], (state.counter, heap_sequence, name))
 
-    def _top(self, lane: Lane) -> str | None:
-        order = self._order[lane]
-        while order:
-            _, stamp, name = order[0]
+    def _top_customer(self, lane: Lane) -> str | None:
+        heap = self._customer_heaps[lane]
+        while heap:
+            _, heap_sequence, name = heap[0]
             state = self._customers.get(name)
             if state is not None:
                 waiting = state.lanes[lane]
-                if waiting.n_queued and waiting.stamp == stamp:
+                if waiting.n_queued and waiting.heap_sequence == heap_sequence:
                     return name
-            heapq.heappop(order)
+            heapq.heappop(heap)
         return None
 
     def _skip_stale(self, lane: _CustomerLane) -> None:
         while True:
-            _, sequence, ticket_id = lane.calls[0]
+            _, sequence, ticket_id = lane.call_heap[0]
             entry = self._tickets.get(ticket_id)
             if entry is not None and entry[1] == sequence:
                 return
-            heapq.heappop(lane.calls)
+            heapq.heappop(lane.call_heap)
 
     def _pop_call(self, state: _CustomerState, lane: Lane) -> Ticket:
         self._skip_stale(state.lanes[lane])
-        _, _, ticket_id = heapq.heappop(state.lanes[lane].calls)
+        _, _, ticket_id = heapq.heappop(state.lanes[lane].call_heap)
         ticket = self._tickets.pop(ticket_id)[0]
-        self._uncount(ticket, state)
+        self._remove_from_totals(ticket, state)
         return ticket
 
-    def _uncount(self, ticket: Ticket, state: _CustomerState) -> None:
+    def _remove_from_totals(self, ticket: Ticket, state: _CustomerState) -> None:
         lane = state.lanes[lane_of(ticket)]
         lane.n_queued -= 1
-        lane.tokens[ticket.urgency] -= ticket.expected_tokens
-        self._n_entering -= lane_of(ticket)
+        lane.tokens_by_urgency[ticket.urgency] -= ticket.expected_tokens
+        self._n_waiting_first_calls -= lane_of(ticket)
         if lane.n_queued == 0:
-            lane.tokens.clear()
-            lane.calls.clear()
+            lane.tokens_by_urgency.clear()
+            lane.call_heap.clear()
 
     def _charge(self, ticket: Ticket, state: _CustomerState) -> None:
-        self._virtual_now = max(self._virtual_now, state.counter)
+        self._virtual_tokens = max(self._virtual_tokens, state.counter)
         state.n_in_flight += 1
         state.counter += ticket.expected_tokens / ticket.weight
-        self._place_waiting(ticket.customer, state)
+        self._push_waiting_customer(ticket.customer, state)
         self._forget_idle()
 
 
 def lane_of(ticket: Ticket) -> Lane:
     """Return the lane in which a call waits."""
-    return Lane.ENTRY if ticket.enters else Lane.READY
+    return Lane.ENTRY if ticket.may_be_held_back else Lane.READY
--- a/packages/swifttide_core/src/swifttide_core/admission/_target_queue.py
+++ b/packages/swifttide_core/src/swifttide_core/admission/_target_queue.py
@@ -1,18 +1,18 @@
-"""Admission and queueing at one target.
+"""Queue of calls in front of one target.
 
-Load pattern: a target is asked for more than it can serve: by a burst, by one hot
-customer, by long calls among short ones, or for good. Engines take every request
-in, know no priority and serve all of them late. Without this module everyone's calls
-time out together, a hot customer takes the target from the others, and calls that
-nobody waits for any more are still computed.
+A target can get more calls than it can serve: in a burst, from one customer with a high
+rate, from long calls among short ones, or permanently. Engines accept every request,
+know no priorities and serve all of them late. Without this module the calls of all
+customers time out together, one customer can take the target from the others, and
+calls are computed although their callers have given up.
 
-The holder of the target's slot therefore keeps the queue outside the engine, orders
-it by customer and program, and refuses at once what would wait too long. A refusal is
-final and says when to come back, from the measured drain rate. Calls of programs that
-are under way don't wait behind first calls: refusing them would waste what the program
-has used so far, while a refused first call costs nothing.
+One host holds the target and keeps its queue outside of the engine. It orders calls by
+customer and program, and refuses a call at once if the expected wait is too long. A
+refusal is final and contains a retry time that follows from the measured drain rate.
+Calls of programs that have started don't wait behind first calls: their refusal would
+waste the work done for the program so far, while a refused first call costs nothing.
 
-Grounds: figures in docs/measurements.md, choices in docs/design/admission.md.
+Figures are in docs/measurements.md, design choices in docs/design/admission.md.
 """
 
 import heapq
@@ -28,17 +28,19 @@
 from swifttide_core.admission._fair_queue import FairQueue
 from swifttide_core.admission._load_report import LoadReport
 from swifttide_core.admission._outcome import Outcome, OutcomeStatus
-from swifttide_core.admission._return_schedule import ReturnSchedule
+from swifttide_core.admission._retry_schedule import RetrySchedule
 from swifttide_core.admission._snapshot import QueueSnapshot
 from swifttide_core.admission._ticket import Ticket, check_ticket
 from swifttide_core.admission._working_set import WorkingSet
 from swifttide_core.verdicts import Reason, Refusal
 
 ENTRY_WINDOW_SECONDS = 60.0
-"""Time constant of the rate at which new programs enter; some stays of a program."""
+"""Time constant of the measured rate at which new programs enter; several times as long
+as a program stays at the target."""
 
-HEAP_SLACK = 64
-"""Entries out of date that a heap may hold beside twice the current ones."""
+MAX_STALE_HEAP_ENTRIES = 64
+"""Number of entries by which a heap may exceed twice the number of current entries
+before its outdated entries are removed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,22 +51,22 @@
 
 
 class TargetQueue:
-    """Queue in front of one target, run at the host that holds its slot.
+    """Queue in front of one target, kept by the host that holds the target.
 
     Parameters
     ----------
     cfg : AdmissionConfig
         Limits and time constants.
     limit : ConcurrencyLimit
-        Adaptive limit of calls at once.
+        Adaptive limit on concurrent calls.
     drain : DrainRate
         Measured drain rate.
 
     Notes
     -----
-    Every method takes ``now`` in monotonic seconds, never before that of the
-    call before. Methods that return decisions return those about OTHER calls, which
-    the caller must pass on to whoever waits.
+    Every method takes ``now`` in monotonic seconds, which must not decrease from one
+    method call to the next. Methods that return a tuple of decisions return those about
+    waiting calls, which the user of the queue must forward to their callers.
     """
 
     def __init__(
@@ -77,11 +79,15 @@
         self._grants: dict[str, _Grant] = {}
         self._expiries: list[tuple[float, str]] = []
         self._latest_starts: list[tuple[float, str]] = []
-        self._returns = ReturnSchedule(cfg.min_retry_seconds, cfg.max_retry_seconds)
+        self._retry_schedule = RetrySchedule(
+            cfg.min_retry_seconds, cfg.max_retry_seconds
+        )
         self._working_set = WorkingSet(
             cfg.working_set_fill, cfg.idle_program_seconds, cfg.initial_stay_seconds
         )
-        self._entries = DrainRate(ENTRY_WINDOW_SECONDS, cfg.initial_stay_seconds)
+        self._program_entry_rate = DrainRate(
+            ENTRY_WINDOW_SECONDS, cfg.initial_stay_seconds
+        )
         self._leaving = False
 
     @classmethod
@@ -93,12 +99,12 @@
         cfg : AdmissionConfig
             Settings.
         max_concurrency : int
-            Upper bound of the adaptive limit, from the target's document.
+            Upper bound of the adaptive limit, from the target's configuration document.
 
         Raises
         ------
         ValueError
-            When a setting is out of its range.
+            If a setting is out of range.
         """
         check_admission_config(cfg)
         if max_concurrency < 1:
@@ -114,133 +120,136 @@
         now : float
             Monotonic seconds.
         ticket : Ticket
-            The call. Offered again while it runs or waits (its first answer was
-            lost on the way), it gets the same answer and no second place.
+            The call. If it is offered again while it runs or waits, because the first
+            answer was lost, it gets the same answer and is not counted twice.
         """
         check_ticket(ticket)
         self._observe(now)
-        known = self._known(ticket)
+        known = self._existing_decision(ticket)
         if known is not None:
             return known
         if self._leaving:
             return self._refuse_leaving(ticket)
-        if self._may_start(ticket):
+        if self._may_start_now(ticket):
             self._queue.start(ticket)
-            return self._grant(now, ticket)
-        wait = self._expected_wait(ticket)
-        if wait > self._longest_wait(now, ticket):
+            return self._grant_call(now, ticket)
+        wait = self._expected_wait_seconds(ticket)
+        if wait > self._max_wait_seconds(now, ticket):
             return self._refuse_full(now, ticket, wait)
         self._queue.push(ticket, self._score(ticket))
-        self._remember_latest_start(ticket)
+        self._push_latest_start(ticket)
         return Queued(ticket.ticket_id, wait)
 
     def release(
         self, now: float, ticket_id: str, outcome: Outcome
     ) -> tuple[Decision, ...]:
-        """End a grant and admit whoever goes next.
+        """End a grant and admit the calls that go next.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         ticket_id : str
-            Id of the call; unknown ids (expired before, or released twice because
-            an answer was lost) change nothing.
+            Id of the call. Unknown ids are ignored: the grant may have expired before,
+            or was released twice because an answer was lost.
         outcome : Outcome
-            What was measured of the call.
+            How the call ended.
         """
         self._observe(now)
         grant = self._grants.pop(ticket_id, None)
         if grant is None:
-            return self._settle(now)
+            return self._process_changes(now)
         saturated = len(self._grants) + 1 >= self._limit.value
         tokens = self._charged_tokens(grant.ticket, outcome)
         self._queue.finish(grant.ticket, tokens)
-        self._limit.released(now, outcome, saturated)
+        self._limit.observe_release(now, outcome, saturated)
         if outcome.status is OutcomeStatus.FINISHED:
             seconds = now - grant.granted_at
-            self._drain.released(len(self._queue) > 0, seconds, tokens)
-        return self._settle(now)
+            self._drain.observe_release(len(self._queue) > 0, seconds, tokens)
+        return self._process_changes(now)
 
     def renew(self, now: float, ticket: Ticket) -> Admitted:
-        """Prolong the lease of a grant whose stream still runs.
+        """Extend the lease of a call that still runs.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         ticket : Ticket
-            The running call. A holder that took the target over does not know
-            it yet and counts it from now on; otherwise it would admit a full
-            limit of calls beside those that run.
+            The running call. A host that has taken over the target does not know the
+            call yet and counts it from now on. Otherwise it would admit calls up to the
+            limit in addition to those that run.
         """
         self._observe(now)
         known = self._grants.get(ticket.ticket_id)
         if known is None:
             self._queue.withdraw(ticket.ticket_id)
             self._queue.start(ticket)
-            return self._grant(now, ticket)
-        return self._hold(known.ticket, known.granted_at, now)
+            return self._grant_call(now, ticket)
+        return self._store_grant(known.ticket, known.granted_at, now)
 
     def withdraw(self, now: float, ticket_id: str) -> tuple[Decision, ...]:
-        """Forget a call whose caller is gone; a running one counts as cancelled."""
+        """Remove a call whose caller has left; a running one counts as cancelled."""
         if ticket_id in self._grants:
             return self.release(now, ticket_id, Outcome(OutcomeStatus.CANCELLED))
         self._observe(now)
         self._queue.withdraw(ticket_id)
-        return self._settle(now)
+        return self._process_changes(now)
 
     def end_program(self, now: float, program: str) -> tuple[Decision, ...]:
-        """Give a program's room at the target to those that wait to start.
+        """Release a program's memory at the target for programs that wait to start.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         program : str
-            One that ended, moved to another target or whose cache was released.
+            Id of a program that ended, moved to another target, or whose cache was
+            released.
         """
         self._observe(now)
-        self._working_set.end(now, program)
-        return self._settle(now)
+        self._working_set.remove(now, program)
+        return self._process_changes(now)
 
     def report_load(self, now: float, report: LoadReport) -> tuple[Decision, ...]:
-        """Learn from the engine's late load report."""
+        """Adapt the limit and the known memory to the engine's load report."""
         self._observe(now)
         if report.cache_capacity_tokens > 0:
             self._working_set.set_capacity(report.cache_capacity_tokens)
-        self._limit.reported(now, report)
-        return self._settle(now)
+        self._limit.observe_load(now, report)
+        return self._process_changes(now)
 
     def tick(self, now: float) -> tuple[Decision, ...]:
-        """Expire grants, refuse what can't meet its deadline, admit what fits.
+        """Expire grants, refuse calls that can't meet their deadlines, admit others.
 
         Notes
         -----
-        To be called about once a second.
+        This method must be called about once per second.
         """
         self._observe(now)
-        self._returns.forget_past(now)
-        self._working_set.forget_idle(now)
-        return self._settle(now)
+        self._retry_schedule.remove_expired(now)
+        self._working_set.remove_idle(now)
+        return self._process_changes(now)
 
     def set_max_concurrency(
         self, now: float, max_concurrency: int
     ) -> tuple[Decision, ...]:
-        """Take over an edited upper bound of the limit."""
+        """Set the upper bound of the adaptive limit."""
         self._observe(now)
         self._limit.set_max(max_concurrency)
-        return self._settle(now)
+        return self._process_changes(now)
 
     def set_leaving(self, now: float, leaving: bool = True) -> tuple[Decision, ...]:
-        """Refuse all waiting and later calls, which may go to another target.
+        """Refuse all waiting and later calls, since the target is being removed.
+
+        The refused calls may be offered to another target.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         leaving : bool
-            False takes it back, when operators edit the target again.
+            False if operators have cancelled the removal; calls are accepted again.
         """
         self._observe(now)
         self._leaving = leaving
@@ -252,88 +261,94 @@
         )
 
     def drain_rate(self, now: float) -> float:
-        """Return the measured releases a second."""
+        """Return the measured releases per second."""
         self._observe(now)
         return self._drain.per_second(self._limit.value)
 
     def snapshot(self, now: float) -> QueueSnapshot:
-        """Return the state that other hosts route by."""
+        """Return the state by which other hosts choose a target."""
         return QueueSnapshot(
             measured_at=now,
             running=len(self._grants),
             queued=len(self._queue),
-            entering=self._queue.n_entering,
+            entering=self._queue.n_waiting_first_calls,
             limit=self._limit.value,
             drain_per_second=self.drain_rate(now),
             service_seconds=self._drain.service_seconds,
-            entry_wait_seconds=self._entry_wait(self._queue.n_entering),
+            entry_wait_seconds=self._program_entry_wait_seconds(
+                self._queue.n_waiting_first_calls
+            ),
             leaving=self._leaving,
         )
 
     def _observe(self, now: float) -> None:
         self._drain.observe(now, len(self._queue) > 0)
-        self._entries.observe(now, self._queue.n_entering > 0)
+        self._program_entry_rate.observe(now, self._queue.n_waiting_first_calls > 0)
 
-    def _known(self, ticket: Ticket) -> Admitted | Queued | None:
+    def _existing_decision(self, ticket: Ticket) -> Admitted | Queued | None:
         grant = self._grants.get(ticket.ticket_id)
         if grant is not None:
             return Admitted(ticket.ticket_id, grant.expires_at)
         if ticket.ticket_id in self._queue:
-            return Queued(ticket.ticket_id, self._expected_wait(ticket))
+            return Queued(ticket.ticket_id, self._expected_wait_seconds(ticket))
         return None
 
-    def _settle(self, now: float) -> tuple[Decision, ...]:
+    def _process_changes(self, now: float) -> tuple[Decision, ...]:
         self._expire_grants(now)
-        decisions: list[Decision] = self._refuse_late(now)
+        decisions: list[Decision] = self._refuse_past_deadline(now)
         while len(self._grants) < self._limit.value:
-            ticket = self._queue.pop(entry_allowed=self._entry_allowed())
+            ticket = self._queue.pop(entry_allowed=self._may_next_program_enter())
             if ticket is None:
                 break
-            decisions.append(self._grant(now, ticket))
+            decisions.append(self._grant_call(now, ticket))
         return tuple(decisions)
 
-    def _may_start(self, ticket: Ticket) -> bool:
+    def _may_start_now(self, ticket: Ticket) -> bool:
         if len(self._grants) >= self._limit.value:
             return False
-        if not ticket.enters:
-            return len(self._queue) == self._queue.n_entering
-        return len(self._queue) == 0 and self._may_enter(ticket)
+        if not ticket.may_be_held_back:
+            return len(self._queue) == self._queue.n_waiting_first_calls
+        return len(self._queue) == 0 and self._has_room_for_program(ticket)
 
-    def _entry_allowed(self) -> bool:
-        ticket = self._queue.peek_entry()
-        return ticket is not None and self._may_enter(ticket)
+    def _may_next_program_enter(self) -> bool:
+        ticket = self._queue.peek_first_call()
+        return ticket is not None and self._has_room_for_program(ticket)
 
-    def _may_enter(self, ticket: Ticket) -> bool:
-        return self._is_spare() or self._working_set.has_room(ticket.final_tokens)
+    def _has_room_for_program(self, ticket: Ticket) -> bool:
+        return self._is_mostly_idle() or self._working_set.has_room(
+            ticket.final_context_tokens
+        )
 
-    def _is_spare(self) -> bool:
+    def _is_mostly_idle(self) -> bool:
         return len(self._grants) < self._cfg.spare_fraction * self._limit.value
 
-    def _grant(self, now: float, ticket: Ticket) -> Admitted:
-        if not ticket.under_way:
-            self._entries.entered(self._queue.n_entering > 0)
+    def _grant_call(self, now: float, ticket: Ticket) -> Admitted:
+        if not ticket.is_program_started:
+            self._program_entry_rate.observe_entry(
+                self._queue.n_waiting_first_calls > 0
+            )
         if ticket.context_tokens > 0:
-            self._working_set.hold(
+            self._working_set.set_history(
                 now,
                 ticket.program,
                 ticket.context_tokens,
                 ticket.expected_context_tokens,
             )
-        return self._hold(ticket, now, now)
+        return self._store_grant(ticket, now, now)
 
-    def _hold(self, ticket: Ticket, granted_at: float, now: float) -> Admitted:
+    def _store_grant(self, ticket: Ticket, granted_at: float, now: float) -> Admitted:
         expires_at = now + self._cfg.lease_seconds
         self._grants[ticket.ticket_id] = _Grant(ticket, granted_at, expires_at)
         heapq.heappush(self._expiries, (expires_at, ticket.ticket_id))
-        if len(self._expiries) > 2 * len(self._grants) + HEAP_SLACK:
+        if len(self._expiries) > 2 * len(self._grants) + MAX_STALE_HEAP_ENTRIES:
             self._expiries = [(g.expires_at, i) for i, g in self._grants.items()]
             heapq.heapify(self._expiries)
         return Admitted(ticket.ticket_id, expires_at)
 
     def _expire_grants(self, now: float) -> None:
-        # The host that held a grant can die without a release. Without expiry its
-        # grants would count as running for good and the target's limit would leak
-        # away until nothing is admitted.
+        # A host can fail without releasing its grants. If they did not expire, they
+        # would count as running forever and use up the target's limit until no call
+        # is admitted.
         while self._expiries and self._expiries[0][0] <= now:
             _, ticket_id = heapq.heappop(self._expiries)
             grant = self._grants.get(ticket_id)
@@ -342,7 +357,7 @@
             del self._grants[ticket_id]
             self._queue.finish(grant.ticket, grant.ticket.expected_tokens)
 
-    def _refuse_late(self, now: float) -> list[Decision]:
+    def _refuse_past_deadline(self, now: float) -> list[Decision]:
         decisions: list[Decision] = []
         while self._latest_starts and self._latest_starts[0][0] <= now:
             _, ticket_id = heapq.heappop(self._latest_starts)
@@ -351,55 +366,59 @@
                 decisions.append(self._refuse_deadline(now, ticket))
         return decisions
 
-    def _remember_latest_start(self, ticket: Ticket) -> None:
-        # Calls that left the queue stay in the heap until their deadline. Without
-        # compaction a busy target with long deadlines holds memory for each call
+    def _push_latest_start(self, ticket: Ticket) -> None:
+        # Calls that left the queue stay in the heap until their deadline. If they were
+        # not removed, a busy target with long deadlines would use memory for each call
         # of the last minutes.
-        entry = (self._latest_start(ticket), ticket.ticket_id)
+        entry = (self._latest_start_at(ticket), ticket.ticket_id)
         heapq.heappush(self._latest_starts, entry)
-        if len(self._latest_starts) > 2 * len(self._queue) + HEAP_SLACK:
+        if len(self._latest_starts) > 2 * len(self._queue) + MAX_STALE_HEAP_ENTRIES:
             self._latest_starts = [
                 e for e in self._latest_starts if e[1] in self._queue
             ]
             heapq.heapify(self._latest_starts)
 
     def _score(self, ticket: Ticket) -> float:
-        steps = ticket.urgency + (1 if ticket.under_way else 0)
+        steps = ticket.urgency + (1 if ticket.is_program_started else 0)
         return ticket.offered_at - steps * self._cfg.urgency_seconds
 
-    def _latest_start(self, ticket: Ticket) -> float:
-        # A program that starts too late to finish would use its target and be given
-        # up all the same; callers in time would be refused for it.
+    def _latest_start_at(self, ticket: Ticket) -> float:
+        # A program that starts too late to meet its deadline would use the target and
+        # still be abandoned, while programs that could finish in time are refused.
         needed = max(self._drain.service_seconds, ticket.expected_remaining_seconds)
         return ticket.deadline_at - needed
 
-    def _longest_wait(self, now: float, ticket: Ticket) -> float:
-        return min(self._cfg.max_wait_seconds, self._latest_start(ticket) - now)
+    def _max_wait_seconds(self, now: float, ticket: Ticket) -> float:
+        return min(self._cfg.max_wait_seconds, self._latest_start_at(ticket) - now)
 
-    def _expected_wait(self, ticket: Ticket) -> float:
+    def _expected_wait_seconds(self, ticket: Ticket) -> float:
         ahead = self._queue.tokens_ahead(ticket)
         first = self._drain.service_seconds / self._limit.value
-        wait = ahead / self._own_rate(ticket) + first
-        if ticket.under_way or not ticket.enters:
+        wait = ahead / self._customer_tokens_per_second(ticket) + first
+        if ticket.is_program_started or not ticket.may_be_held_back:
             return wait
-        n_ahead = self._queue.entries_ahead(ticket)
-        return max(wait, self._entry_wait(n_ahead / self._queue.share(ticket)))
+        n_ahead = self._queue.first_calls_ahead(ticket)
+        return max(
+            wait, self._program_entry_wait_seconds(n_ahead / self._queue.share(ticket))
+        )
 
-    def _entry_wait(self, n_ahead: float) -> float:
-        if not self._working_set.bounded:
+    def _program_entry_wait_seconds(self, n_ahead: float) -> float:
+        if not self._working_set.is_capacity_known:
             return 0.0
-        if n_ahead == 0 and (self._is_spare() or self._working_set.has_room(0.0)):
+        if n_ahead == 0 and (self._is_mostly_idle() or self._working_set.has_room(0.0)):
             return 0.0
-        self._entries.set_service_seconds(self._working_set.stay_seconds)
-        return (n_ahead + 1) / self._entries.per_second(self._working_set.n_places)
+        self._program_entry_rate.set_service_seconds(self._working_set.stay_seconds)
+        return (n_ahead + 1) / self._program_entry_rate.per_second(
+            self._working_set.program_capacity
+        )
 
-    def _entry_spacing(self, ticket: Ticket) -> float:
-        if not self._working_set.bounded:
+    def _program_entry_spacing_seconds(self, ticket: Ticket) -> float:
+        if not self._working_set.is_capacity_known:
             return 0.0
-        rate = self._entries.per_second(self._working_set.n_places)
+        rate = self._program_entry_rate.per_second(self._working_set.program_capacity)
         return 1.0 / (rate * self._queue.share(ticket))
 
-    def _own_rate(self, ticket: Ticket) -> float:
+    def _customer_tokens_per_second(self, ticket: Ticket) -> float:
         rate = self._drain.tokens_per_second(self._limit.value, ticket.expected_tokens)
         return rate * self._queue.share(ticket)
 
@@ -411,34 +430,34 @@
                 return outcome.tokens
         return ticket.expected_tokens
 
-    def _retry_after(self, now: float, ticket: Ticket, wait: float) -> float:
-        spacing = ticket.expected_tokens / self._own_rate(ticket)
-        if ticket.enters:
-            spacing = max(spacing, self._entry_spacing(ticket))
-        return self._returns.promise(now, ticket.customer, wait, spacing)
+    def _retry_after_seconds(self, now: float, ticket: Ticket, wait: float) -> float:
+        spacing = ticket.expected_tokens / self._customer_tokens_per_second(ticket)
+        if ticket.may_be_held_back:
+            spacing = max(spacing, self._program_entry_spacing_seconds(ticket))
+        return self._retry_schedule.reserve(now, ticket.customer, wait, spacing)
 
     def _refuse_full(self, now: float, ticket: Ticket, wait: float) -> Refused:
-        excess = wait - self._longest_wait(now, ticket)
+        excess = wait - self._max_wait_seconds(now, ticket)
         refusal = Refusal(
             Reason.QUEUE_FULL,
-            f"the expected wait of {wait:.1f} s is too long",
-            retry_after_seconds=self._retry_after(now, ticket, excess),
+            f"the expected wait of {wait:.1f} s exceeds the maximum wait of the call",
+            retry_after_seconds=self._retry_after_seconds(now, ticket, excess),
         )
         return Refused(ticket.ticket_id, refusal, try_elsewhere=True)
 
     def _refuse_deadline(self, now: float, ticket: Ticket) -> Refused:
-        wait = self._expected_wait(ticket)
+        wait = self._expected_wait_seconds(ticket)
         refusal = Refusal(
             Reason.DEADLINE,
-            "the deadline can't be met any more",
-            retry_after_seconds=self._retry_after(now, ticket, wait),
+            "the deadline of the program can no longer be met",
+            retry_after_seconds=self._retry_after_seconds(now, ticket, wait),
         )
         return Refused(ticket.ticket_id, refusal)
 
     def _refuse_leaving(self, ticket: Ticket) -> Refused:
         refusal = Refusal(
             Reason.NO_TARGET,
-            "the target is leaving",
+            "the target is being removed and takes no new calls",
             retry_after_seconds=self._cfg.min_retry_seconds,
         )
         return Refused(ticket.ticket_id, refusal, try_elsewhere=True)
