--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_beliefs.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_beliefs.py
@@ -117,7 +117,7 @@
         if not is_emptied:
             # Idle targets may have become cold since their last status report.
             for target in targets:
-                self.cold.mark(target.id, self._spec_of(target).cold_seconds)
+                self.cold.mark_cold(target.id, self._spec_of(target).cold_seconds)
         return True
 
     def store_lost(self) -> None:
@@ -147,7 +147,7 @@
         self._lapsing.pop(entry.id, None)
         known = self.targets.get(entry.id)
         is_new = known is None or known.started_ms != entry.started_ms
-        turned_cold = self.cold.told(entry, self._spec_of(entry), is_new)
+        turned_cold = self.cold.update_from_entry(entry, self._spec_of(entry), is_new)
         if known == entry:
             return turned_cold
         self.targets[entry.id] = entry
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_gateway.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_gateway.py
@@ -99,7 +99,9 @@
     def _build_target_side(self):
         log = self._log
         self._strikes = StrikeKeeper(log)
-        self._prober = TargetProber(self._pool, self._strikes.refused, log)
+        self._prober = TargetProber(
+            self._pool, self._strikes.record_refused_connection, log
+        )
         self._health = TargetHealth(self._prober.is_down)
         cold = ColdTargets(self._cfg.cold_excess, self._cfg.cold_extra, log)
         self.beliefs = Beliefs(self._forget_target, log, self._cfg.regions, cold)
@@ -153,7 +155,7 @@
             log,
         )
         self._datagrams.on_rate_message = self._rates.handle_message
-        self._datagrams.on_order_message = self._order.take_message
+        self._datagrams.on_order_message = self._order.handle_message
 
     def _build_table_watches(self):
         self._feeds = TableWatches.build(
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
@@ -235,7 +235,7 @@
         """Return the request's fingerprint; raises `Refusal` if it crashes targets."""
         kind = f"{customer} {req.method} {req.path}"
         fingerprint = fingerprint_of(req.body, kind)
-        match self._strikes.standing(fingerprint):
+        match self._strikes.status_of(fingerprint):
             case Refused(seconds):
                 raise Refusal(503, "crashes_targets", seconds)
         return fingerprint
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_answer_relay.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_answer_relay.py
@@ -17,7 +17,10 @@
 from swifttide_daemon.gateway.callers._job import request_age_seconds
 from swifttide_daemon.gateway.callers._refusal import Refusal
 from swifttide_daemon.gateway.targets._target_answer import MayHaveRun, TargetFailure
-from swifttide_daemon.gateway.targets._target_client import PROMISES, TargetExchange
+from swifttide_daemon.gateway.targets._target_client import (
+    NOT_RUN_STATUSES,
+    TargetExchange,
+)
 from swifttide_daemon.gateway.turns._turn_keeper import TurnKeeper
 from swifttide_daemon.telemetry import EventLog
 
@@ -90,7 +93,7 @@
             exchange.cancel()
             raise TargetFailure(MayHaveRun(f"answered {head.status} to a resumption"))
         body = await exchange.read_body()
-        if head.status in PROMISES:
+        if head.status in NOT_RUN_STATUSES:
             # These statuses mean "not run" only with the header field that says so;
             # without it the target may have run the request.
             raise TargetFailure(MayHaveRun(f"answered {head.status}"))
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_forwarder.py
@@ -206,7 +206,9 @@
                             break
             finally:
                 if place is not None:
-                    self._order.left(place, progress.first_event_wait_seconds, is_whole)
+                    self._order.report_turn_left(
+                        place, progress.first_event_wait_seconds, is_whole
+                    )
         if progress.sent_target_ids:
             raise Refusal(502, reason)
         raise Refusal(503, reason, random.uniform(0.1, 0.4))
@@ -219,12 +221,12 @@
             verdict=type(outcome).__name__,
             reason=outcome.reason,
         )
-        self._health.failed(target.id, outcome)
+        self._health.record_failure(target.id, outcome)
         match outcome:
             case MayHaveRun(broken=True):
-                self._strikes.broke(job.fingerprint, target)
+                self._strikes.record_broken_request(job.fingerprint, target)
             case NotRun(refused=True):
-                self._strikes.refused(target.id)
+                self._strikes.record_refused_connection(target.id)
 
     async def _find_target(
         self, job, tried, progress
@@ -288,7 +290,7 @@
             self._connected_target_ids(job),
         )
         if isinstance(place, Place) and not self._health.usable(place.target.id):
-            self._order.left(place, None)
+            self._order.report_turn_left(place, None)
             return None
         return place
 
@@ -304,7 +306,7 @@
         """
         targets = self._beliefs.targets_of(job.service.name, job.homes)
         usable = [t for t in targets if t.id not in tried]
-        used = {t for t in may_have_run if not self._health.ended(t)}
+        used = {t for t in may_have_run if not self._health.has_ended(t)}
         if len(used) >= job.route.max_attempts:
             usable = [t for t in usable if t.id in used]
         else:
@@ -312,7 +314,7 @@
         healthy = [t for t in usable if self._health.usable(t.id)] or usable
         cold = self._beliefs.cold
         n_hosts = self._fleet.n_hosts()
-        allowed, wait_seconds = cold.within_share(job.service, healthy, n_hosts)
+        allowed, wait_seconds = cold.targets_within_share(job.service, healthy, n_hosts)
         if healthy and not allowed:
             return PlaceLater(wait_seconds if math.isfinite(wait_seconds) else 1.0)
         candidates = [self._candidate(target) for target in allowed]
@@ -320,7 +322,7 @@
         subject = job.req.subject
         found = choose_target(candidates, self._zone, subject, last, self._host)
         if found is not None:
-            cold.sent_alone(found.id)
+            cold.record_unkept_request(found.id)
         return found
 
     def _candidate(self, target) -> Candidate:
@@ -341,7 +343,7 @@
         exchange = None
         places = job.service.concurrency_at(target)
         progress.target_load = self._health.outstanding(target.id) / places
-        self._health.sent(target.id)
+        self._health.record_sent(target.id)
         try:
             conn = await self._client.connect(target)
             if not self._beliefs.may_use(target, job.homes):
@@ -362,10 +364,10 @@
                 job.body,
             )
             await self._relay.relay(job, progress, exchange)
-            self._health.answered(target.id)
+            self._health.record_answer(target.id)
             self._prompt_locations.record(job.customer, req, target.id)
-            self._strikes.ran(job.fingerprint)
+            self._strikes.record_success(job.fingerprint)
         finally:
-            self._health.ended_request(target.id)
+            self._health.record_ended(target.id)
             if exchange is not None and not exchange.complete:
                 exchange.cancel()
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_exchange.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/peers/_beacon_exchange.py
@@ -78,7 +78,7 @@
             config_change=self._config_watch.newest_change,
             target_change=self._targets_watch.newest_change,
             outstanding=self._health.own_counts(),
-            strikes=self._strikes.news()[:MAX_STRIKES_PER_BEACON],
+            strikes=self._strikes.strikes_to_broadcast()[:MAX_STRIKES_PER_BEACON],
             lending=sorted(self._lender.slots()),
             pause_seconds=pause_seconds,
             cores=own.cores,
@@ -89,8 +89,10 @@
 
         The fleet's record of heard hosts is updated by the receiver of the datagram.
         """
-        self._health.told(beacon.ip, beacon.outstanding, beacon.pause_seconds)
-        self._order.told(beacon.ip, beacon.outstanding)
-        self._strikes.take(beacon.strikes)
+        self._health.update_remote_counts(
+            beacon.ip, beacon.outstanding, beacon.pause_seconds
+        )
+        self._order.reconcile_counts(beacon.ip, beacon.outstanding)
+        self._strikes.add_remote_strikes(beacon.strikes)
         self._config_watch.on_peer_change(beacon.config_change)
         self._targets_watch.on_peer_change(beacon.target_change)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_membership_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_membership_feed.py
@@ -60,7 +60,7 @@
             entry = self._decode_target(row)
             if entry is not None:
                 entries[entry.id] = entry
-                self._strikes.seen(entry)
+                self._strikes.record_entry(entry)
         self._beliefs.replace_targets(entries)
 
     def apply_target_changes(self, rows: RowsTuple) -> int:
@@ -75,7 +75,7 @@
             if entry is None:
                 is_news = self._beliefs.remove_target(row.key.key)
             else:
-                self._strikes.seen(entry)
+                self._strikes.record_entry(entry)
                 is_news = self._beliefs.put_target(entry)
             if is_news:
                 newest = max(newest, row.version)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_cold_targets.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_cold_targets.py
@@ -7,7 +7,7 @@
 from swifttide_core.forwarding import ServiceSpec, TargetEntry
 from swifttide_daemon.telemetry import EventLog
 
-MARGIN_SECONDS = 0.5
+COLD_MARGIN_SECONDS = 0.5
 """A target counts as cold for so much longer than it said: for the way of its entry,
 and for work that was sent before its end."""
 
@@ -30,8 +30,8 @@
         self._excess = excess
         self._extra = extra
         self._log = log
-        self._until: dict[str, float] = {}
-        self._odd: set[str] = set()
+        self._cold_until: dict[str, float] = {}
+        self._warned_ids: set[str] = set()
         self._pace = TargetPace()
 
     def terms(self, service: ServiceSpec) -> ColdTerms:
@@ -41,9 +41,11 @@
 
     def is_cold(self, target_id: str) -> bool:
         """Whether a target is known to be cold."""
-        return _now() < self._until.get(target_id, float("-inf"))
+        return _now() < self._cold_until.get(target_id, float("-inf"))
 
-    def told(self, entry: TargetEntry, service: ServiceSpec, is_new: bool) -> bool:
+    def update_from_entry(
+        self, entry: TargetEntry, service: ServiceSpec, is_new: bool
+    ) -> bool:
         """Take a target's entry; return whether it turned cold.
 
         Parameters
@@ -55,26 +57,26 @@
         """
         seconds = entry.cold_seconds
         if seconds is None or seconds > MAX_COLD_SECONDS:
-            self._note_odd(entry)
+            self._warn_invalid_cold_seconds(entry)
             usual = service.cold_seconds if is_new else 0.0
             seconds = usual if seconds is None else MAX_COLD_SECONDS
-        return self.mark(entry.id, seconds)
+        return self.mark_cold(entry.id, seconds)
 
-    def mark(self, target_id: str, seconds: float) -> bool:
+    def mark_cold(self, target_id: str, seconds: float) -> bool:
         """Count a target as cold for some time; return whether it wasn't before."""
         if seconds <= 0.0:
             return False
         was_cold = self.is_cold(target_id)
-        until = _now() + seconds + MARGIN_SECONDS
-        self._until[target_id] = max(until, self._until.get(target_id, until))
+        until = _now() + seconds + COLD_MARGIN_SECONDS
+        self._cold_until[target_id] = max(until, self._cold_until.get(target_id, until))
         if not was_cold:
             self._log.info("target_cold", target=target_id, seconds=round(seconds, 3))
         return not was_cold
 
     def forget(self, target_id: str) -> None:
         """Drop what is known of a target that has left."""
-        self._until.pop(target_id, None)
-        self._odd.discard(target_id)
+        self._cold_until.pop(target_id, None)
+        self._warned_ids.discard(target_id)
         self._pace.forget(target_id)
 
     def keeper_limits(
@@ -82,7 +84,7 @@
         service: ServiceSpec,
         targets: Sequence[TargetEntry],
         standing: KeeperStanding,
-        heard_part: float,
+        heard_fraction: float,
     ) -> dict[str, float] | None:
         """Return what a keeper may send to each target in a second.
 
@@ -92,11 +94,11 @@
         if not terms.binds:
             return None
         return {
-            t.id: terms.keeper_limit(self.is_cold(t.id), standing, heard_part)
+            t.id: terms.keeper_limit(self.is_cold(t.id), standing, heard_fraction)
             for t in targets
         }
 
-    def within_share(
+    def targets_within_share(
         self, service: ServiceSpec, targets: Sequence[TargetEntry], n_hosts: int
     ) -> tuple[list[TargetEntry], float]:
         """Return the targets to which this host may send without a keeper.
@@ -118,14 +120,14 @@
         warm = [t for t in found if not self.is_cold(t.id)]
         return warm or found, paced.wait_seconds
 
-    def sent_alone(self, target_id: str) -> None:
+    def record_unkept_request(self, target_id: str) -> None:
         """Count a request that is sent without a keeper."""
         self._pace.note(target_id, _now())
 
-    def _note_odd(self, entry):
-        if entry.id in self._odd:
+    def _warn_invalid_cold_seconds(self, entry):
+        if entry.id in self._warned_ids:
             return
-        self._odd.add(entry.id)
+        self._warned_ids.add(entry.id)
         self._log.warning(
             "target_cold_time_odd", target=entry.id, seconds=entry.cold_seconds
         )
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_connection_pool.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_connection_pool.py
@@ -4,14 +4,14 @@
 
 from swifttide_daemon.gateway.targets._http_client import ClientConnection
 
-IDLE_SECONDS = 4.0
+DEFAULT_IDLE_SECONDS = 4.0
 """How long a connection is kept whose other end names no timeout of its own."""
 
 IDLE_MARGIN_SECONDS = 1.0
 """A connection isn't used in the last second of the other end's timeout: a request
 that crosses the close may have run or not, and nobody can tell."""
 
-MAX_IDLE = 32
+MAX_IDLE_CONNECTIONS = 32
 """Idle connections kept to one address."""
 
 
@@ -47,11 +47,11 @@
     ) -> None:
         """Keep a connection whose answer has been read, if it can be kept."""
         conn.finish()
-        keep = IDLE_SECONDS
+        keep = DEFAULT_IDLE_SECONDS
         if idle_seconds is not None:
             keep = idle_seconds - IDLE_MARGIN_SECONDS
         kept = self._idle.setdefault((ip, port), [])
-        if not conn.reusable or keep <= 0.0 or len(kept) >= MAX_IDLE:
+        if not conn.reusable or keep <= 0.0 or len(kept) >= MAX_IDLE_CONNECTIONS:
             conn.close()
             return
         conn.idle_until = asyncio.get_running_loop().time() + keep
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_http_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_http_client.py
@@ -13,7 +13,7 @@
 
 READ_BYTES = 65_536
 
-PIECE_SECONDS = 0.5
+MAX_CHUNK_PAUSE_SECONDS = 0.5
 """Longest pause between pieces of an answer that has begun: 64 KB take 35 ms on a link
 of 15 Mbit/s, and some other answers come in between."""
 
@@ -111,7 +111,9 @@
             case other:
                 raise h11.RemoteProtocolError(f"got {type(other).__name__}")
 
-    async def read_body(self, most: int, limit: asyncio.Timeout | None = None) -> bytes:
+    async def read_body(
+        self, max_bytes: int, limit: asyncio.Timeout | None = None
+    ) -> bytes:
         """Return the answer's whole body; raises when it is over ``most`` bytes.
 
         Parameters
@@ -127,9 +129,9 @@
             body += piece
             if limit is not None:
                 now = asyncio.get_running_loop().time()
-                limit.reschedule(max(limit.when(), now + PIECE_SECONDS))
-            if len(body) > most:
-                raise h11.RemoteProtocolError(f"a body of over {most} bytes")
+                limit.reschedule(max(limit.when(), now + MAX_CHUNK_PAUSE_SECONDS))
+            if len(body) > max_bytes:
+                raise h11.RemoteProtocolError(f"a body of over {max_bytes} bytes")
         return bytes(body)
 
     def skip_answer(self) -> None:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_order_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_order_keeper.py
@@ -5,7 +5,7 @@
 Without it: each host decides by what the others told of a while ago.
 
 Grounds: an answer takes one to three milliseconds. A keeper that is lost, frozen or
-slow costs a turn one wait of `ANSWER_SECONDS`; it is then passed over, and the host
+slow costs a turn one wait of `ANSWER_TIMEOUT_SECONDS`; it is then passed over, and the host
 decides by itself as it would without an order. Two keepers at once only know less of
 each other's turns: no promise rests on the order.
 """
@@ -39,29 +39,29 @@
 from swifttide_daemon.gateway.targets._target_health import TargetHealth
 from swifttide_daemon.telemetry import EventLog
 
-ANSWER_SECONDS = 0.03
+ANSWER_TIMEOUT_SECONDS = 0.03
 """Time for an answer: the way to another zone and back takes two milliseconds, and a
 host that is busy answers after some more."""
 
-NUMBER_BITS = 53
+QUESTION_NUMBER_BITS = 53
 """Of a question's number: what JSON numbers hold exactly everywhere."""
 
 MAX_TURN_SECONDS = 60.0
 """Longest time for which a turn counts whose end is not heard of."""
 
-SETTLE_SECONDS = 1.5
+KEEPER_SETTLE_SECONDS = 1.5
 """What a predecessor placed lies beyond the second in which requests are counted, and
 who had passed a keeper over asks it again."""
 
-IDLE_SECONDS = 1.0
+KEEPER_IDLE_SECONDS = 1.0
 """A keeper that wasn't asked for so long has had a successor meanwhile."""
 
-MIN_LATER_SECONDS = 0.01
+MIN_RETRY_SECONDS = 0.01
 """Shortest wait that is told: some ways to the keeper and back."""
 
 MAX_SUBJECT_CHARS = 64
-MAX_WITHOUT = 8
-MAX_CONNECTED = 16
+MAX_EXCLUDED_TARGETS = 8
+MAX_CONNECTED_TARGETS = 16
 """Bounds a question to one packet."""
 
 
@@ -83,7 +83,7 @@
 
 
 @dataclass(slots=True)
-class _KeptSpan:
+class _KeeperTenure:
     """Since when a host has kept an order, and when it was last asked."""
 
     since: float
@@ -121,8 +121,8 @@
         self._send = send
         self._log = log
         self._orders: dict[str, TurnOrder] = {}
-        self._spans: dict[str, _KeptSpan] = {}
-        self._waiting: dict[int, asyncio.Future[OrderAnswer]] = {}
+        self._tenures: dict[str, _KeeperTenure] = {}
+        self._pending_answers: dict[int, asyncio.Future[OrderAnswer]] = {}
 
     async def enter(
         self,
@@ -132,10 +132,15 @@
         homes: AllowedRegions = None,
     ) -> Entered | TurnedAway | None:
         """Ask whether a new program may begin; None if the keeper doesn't answer."""
-        number = secrets.randbits(NUMBER_BITS)
+        number = secrets.randbits(QUESTION_NUMBER_BITS)
         seconds = round(seconds or 0.0, 3)
         ask = AskEntry(
-            service.name, self._own.boot, number, program, seconds, _listed(homes)
+            service.name,
+            self._own.boot,
+            number,
+            program,
+            seconds,
+            _sorted_or_none(homes),
         )
         answer, _ = await self._ask(service.name, ask)
         if answer is None:
@@ -171,7 +176,7 @@
         connected : iterable of str
             Targets to which this host has an idle connection.
         """
-        number = secrets.randbits(NUMBER_BITS)
+        number = secrets.randbits(QUESTION_NUMBER_BITS)
         ask = AskPlace(
             service.name,
             self._own.boot,
@@ -181,9 +186,9 @@
             subject[:MAX_SUBJECT_CHARS],
             last,
             round(seconds, 3),
-            sorted(without)[:MAX_WITHOUT],
-            _listed(homes),
-            sorted(connected)[:MAX_CONNECTED],
+            sorted(without)[:MAX_EXCLUDED_TARGETS],
+            _sorted_or_none(homes),
+            sorted(connected)[:MAX_CONNECTED_TARGETS],
         )
         answer, keeper = await self._ask(service.name, ask)
         if answer and answer.retry_seconds > 0.0:
@@ -195,11 +200,11 @@
         is_usable = target.service == service.name
         is_usable = is_usable and self._beliefs.may_use(target, homes)
         if not is_usable or target.id in without:
-            self.left(place, None)
+            self.report_turn_left(place, None)
             return None
         return place
 
-    def left(
+    def report_turn_left(
         self, place: Place, first_seconds: float | None, is_whole: bool = False
     ) -> None:
         """Tell that a turn is no longer at its target."""
@@ -213,23 +218,23 @@
             is_whole,
         )
         if place.keeper == self._own.ip:
-            self._take_left(message, self._own.ip)
+            self._record_turn_left(message, self._own.ip)
         else:
             self._send(place.keeper, message)
 
-    def take_message(self, message: OrderMessage, sender: str) -> None:
+    def handle_message(self, message: OrderMessage, sender: str) -> None:
         """Take another host's message."""
         match message:
             case OrderAnswer(boot, number) if boot == self._own.boot:
-                waiting = self._waiting.get(number)
+                waiting = self._pending_answers.get(number)
                 if waiting is not None and not waiting.done():
                     waiting.set_result(message)
             case AskEntry() | AskPlace() if self._may_answer(sender):
                 self._send(sender, self._answer(message, sender))
             case TurnLeft():
-                self._take_left(message, sender)
+                self._record_turn_left(message, sender)
 
-    def told(self, host: str, counts: dict[str, int]) -> None:
+    def reconcile_counts(self, host: str, counts: dict[str, int]) -> None:
         """Take the requests under way that a host tells of in its beacon."""
         now = asyncio.get_running_loop().time()
         for order in self._orders.values():
@@ -245,17 +250,17 @@
         if keeper == self._own.ip:
             return self._answer(ask, keeper), keeper
         waiting = asyncio.get_running_loop().create_future()
-        self._waiting[ask.number] = waiting
+        self._pending_answers[ask.number] = waiting
         try:
             self._send(keeper, ask)
-            async with asyncio.timeout(ANSWER_SECONDS):
+            async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
                 return await waiting, keeper
         except TimeoutError:
             self._choice.suspect(keeper)
             self._log.info("no_order", service=service, keeper=keeper)
             return None, keeper
         finally:
-            del self._waiting[ask.number]
+            del self._pending_answers[ask.number]
 
     def _may_answer(self, sender) -> bool:
         """Whether a question may be answered; a host that starts knows nothing yet."""
@@ -295,7 +300,7 @@
                     case TargetEntry(id=target_id):
                         answer.target = target_id
                     case PlaceLater(seconds):
-                        answer.retry_seconds = max(MIN_LATER_SECONDS, seconds)
+                        answer.retry_seconds = max(MIN_RETRY_SECONDS, seconds)
         return answer
 
     def _limits(self, service, targets, standing) -> dict[str, float] | None:
@@ -305,15 +310,15 @@
     def _standing(self, service) -> KeeperStanding:
         """Return how sure this host is that no other keeps a service's order."""
         now = elapsed_seconds()
-        span = self._spans.setdefault(service, _KeptSpan(now, now))
+        span = self._tenures.setdefault(service, _KeeperTenure(now, now))
         name = _order_name(service)
         is_first = self._choice.is_primary_keeper(name)
-        if not is_first or now - span.asked_at > IDLE_SECONDS:
+        if not is_first or now - span.asked_at > KEEPER_IDLE_SECONDS:
             span.since = now
         span.asked_at = now
         if not is_first:
             return KeeperStanding.standin(self._choice.n_candidates())
-        if now - span.since < SETTLE_SECONDS:
+        if now - span.since < KEEPER_SETTLE_SECONDS:
             return KeeperStanding.new()
         return KeeperStanding.settled()
 
@@ -329,7 +334,7 @@
         targets = self._beliefs.targets_of(service, homes)
         return [t for t in targets if self._health.usable(t.id)] or targets
 
-    def _take_left(self, message, sender):
+    def _record_turn_left(self, message, sender):
         order = self._orders.get(message.service)
         if order is None:
             return
@@ -344,5 +349,5 @@
     return f"order of {service}"
 
 
-def _listed(homes: AllowedRegions) -> list[str] | None:
+def _sorted_or_none(homes: AllowedRegions) -> list[str] | None:
     return None if homes is None else sorted(homes)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_silence_guard.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_silence_guard.py
@@ -32,13 +32,13 @@
         self._target = target
         self._prober = prober
         self._loop = asyncio.get_running_loop()
-        self._last = self._loop.time()
+        self._last_progress_at = self._loop.time()
         self._task: asyncio.Task | None = None
         self._timer = self._loop.call_later(SILENCE_SECONDS, self._check)
 
     def progress(self) -> None:
         """Note that something came."""
-        self._last = self._loop.time()
+        self._last_progress_at = self._loop.time()
 
     def stop(self) -> None:
         """End the watch."""
@@ -47,7 +47,7 @@
             self._task.cancel()
 
     def _check(self):
-        left = self._last + SILENCE_SECONDS - self._loop.time()
+        left = self._last_progress_at + SILENCE_SECONDS - self._loop.time()
         if left > 0.001:
             self._timer = self._loop.call_later(left, self._check)
         else:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_strike_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_strike_keeper.py
@@ -14,13 +14,13 @@
 )
 from swifttide_daemon.telemetry import EventLog
 
-TELL_SECONDS = 2.0
+STRIKE_BROADCAST_SECONDS = 2.0
 """How long a strike stands in this host's beacons: ten of them."""
 
-MAX_WATCHED = 2_048
+MAX_TRACKED_TARGETS = 2_048
 """Targets with a broken request that are remembered."""
 
-GONE = "gone"
+UNKNOWN_INCARNATION = "gone"
 """Stands for the unknown next incarnation of a target that refuses connections."""
 
 
@@ -34,64 +34,69 @@
 
     def __init__(self, log: EventLog):
         self._log = log
-        self._book = StrikeTracker()
-        self._watches: dict[str, CrashClassifier] = {}
+        self._tracker = StrikeTracker()
+        self._classifiers: dict[str, CrashClassifier] = {}
         self._addresses: dict[str, tuple[str, int]] = {}
-        self._news: deque[tuple[float, Strike]] = deque()
+        self._recent_strikes: deque[tuple[float, Strike]] = deque()
 
-    def broke(self, fingerprint: str, target: TargetEntry) -> None:
+    def record_broken_request(self, fingerprint: str, target: TargetEntry) -> None:
         """Note a request whose connection broke."""
-        watch = self._watches.setdefault(target.id, CrashClassifier(target.id))
+        watch = self._classifiers.setdefault(target.id, CrashClassifier(target.id))
         watch.record_broken_request(fingerprint, str(target.started_ms))
-        if len(self._addresses) >= MAX_WATCHED:
+        if len(self._addresses) >= MAX_TRACKED_TARGETS:
             self._forget(next(iter(self._addresses)))
         self._addresses[target.id] = (target.ip, target.port)
 
-    def refused(self, target_id: str) -> None:
+    def record_refused_connection(self, target_id: str) -> None:
         """Note that nothing listens at a target's address any longer.
 
         Only this tells a crash. A target across a cut is out of reach and loses its
         entry too, and what it was running is innocent.
         """
-        self._conclude(target_id, GONE)
+        self._classify(target_id, UNKNOWN_INCARNATION)
 
-    def seen(self, target: TargetEntry) -> None:
+    def record_entry(self, target: TargetEntry) -> None:
         """Note a target's entry: another start at its address means that it ended."""
-        self._conclude(target.id, str(target.started_ms))
+        self._classify(target.id, str(target.started_ms))
         address = (target.ip, target.port)
         for other, known in list(self._addresses.items()):
             if known == address and other != target.id:
-                self._conclude(other, GONE)
+                self._classify(other, UNKNOWN_INCARNATION)
                 self._forget(other)
 
     def _forget(self, target_id):
-        self._watches.pop(target_id, None)
+        self._classifiers.pop(target_id, None)
         self._addresses.pop(target_id, None)
 
-    def ran(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Note that a target ran a request to its end."""
-        self._book.record_success(self._now(), fingerprint)
+        self._tracker.record_success(self._now(), fingerprint)
 
-    def standing(self, fingerprint: str) -> Clear | Suspect | Refused:
+    def status_of(self, fingerprint: str) -> Clear | Suspect | Refused:
         """Return what is held against a request."""
-        return self._book.status_of(self._now(), fingerprint)
+        return self._tracker.status_of(self._now(), fingerprint)
 
-    def take(self, strikes: list[tuple[str, str, str]]) -> None:
+    def add_remote_strikes(self, strikes: list[tuple[str, str, str]]) -> None:
         """Take strikes that another host tells."""
         for fingerprint, target, incarnation in strikes:
-            self._book.record_strike(
+            self._tracker.record_strike(
                 self._now(), Strike(fingerprint, target, incarnation)
             )
 
-    def news(self) -> list[tuple[str, str, str]]:
+    def strikes_to_broadcast(self) -> list[tuple[str, str, str]]:
         """Return the strikes to tell other hosts."""
         now = self._now()
-        while self._news and now - self._news[0][0] > TELL_SECONDS:
-            self._news.popleft()
-        return [(s.fingerprint, s.target, s.incarnation) for _, s in self._news]
-
-    def _conclude(self, target_id, incarnation):
-        watch = self._watches.get(target_id)
+        while (
+            self._recent_strikes
+            and now - self._recent_strikes[0][0] > STRIKE_BROADCAST_SECONDS
+        ):
+            self._recent_strikes.popleft()
+        return [
+            (s.fingerprint, s.target, s.incarnation) for _, s in self._recent_strikes
+        ]
+
+    def _classify(self, target_id, incarnation):
+        watch = self._classifiers.get(target_id)
         if watch is None:
             return
         for strike in watch.classify(incarnation):
@@ -99,8 +104,8 @@
 
     def _add(self, strike):
         now = self._now()
-        self._book.record_strike(now, strike)
-        self._news.append((now, strike))
+        self._tracker.record_strike(now, strike)
+        self._recent_strikes.append((now, strike))
         self._log.warning(
             "strike", fingerprint=strike.fingerprint, target=strike.target
         )
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_client.py
@@ -21,7 +21,7 @@
 MAX_ANSWER_BYTES = 8_388_608
 """Largest answer of a plain service that is collected before it is passed on."""
 
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run."""
 
 
@@ -57,7 +57,7 @@
             piece = await self._conn.read_data()
         except (OSError, h11.RemoteProtocolError, EOFError) as exc:
             self.cancel()
-            reason = f"broke off: {describe(exc)}"
+            reason = f"broke off: {describe_exception(exc)}"
             raise TargetFailure(MayHaveRun(reason, broken=True)) from exc
         self._guard.progress()
         if piece is None and self._guard.fired:
@@ -115,7 +115,7 @@
             conn, _ = await self._pool.take(target.ip, target.port)
         except OSError as exc:
             self._prober.note_unreachable(target)
-            reason = f"no connection: {describe(exc)}"
+            reason = f"no connection: {describe_exception(exc)}"
             refused = isinstance(exc, ConnectionRefusedError)
             outcome = NotRun(reason, reached=False, refused=refused)
             raise TargetFailure(outcome) from exc
@@ -162,7 +162,7 @@
         except (OSError, h11.RemoteProtocolError, EOFError) as exc:
             guard.stop()
             conn.close()
-            reason = f"no answer: {describe(exc)}"
+            reason = f"no answer: {describe_exception(exc)}"
             raise TargetFailure(MayHaveRun(reason, broken=True)) from exc
         except BaseException:
             # The caller has left or time is up: the target is to stop its work.
@@ -209,7 +209,7 @@
             raise TargetFailure(MayHaveRun("an answer without the target's mark"))
 
 
-def describe(exc: BaseException) -> str:
+def describe_exception(exc: BaseException) -> str:
     """Return an exception's type and message, short."""
     text = str(exc)[:80]
     kind = type(exc).__name__
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_prober.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_prober.py
@@ -8,14 +8,14 @@
 from swifttide_daemon.gateway.targets._http_client import ClientConnection
 from swifttide_daemon.telemetry import EventLog
 
-TRIES = 2
+PROBE_ATTEMPTS = 2
 """Connections tried before a target counts as out of reach: one opening packet may be
 lost, or dropped by a target whose queue of new connections is full."""
 
-FRESH_SECONDS = 0.3
+RESULT_VALID_SECONDS = 0.3
 """How long a finding holds for others that ask."""
 
-AGAIN_SECONDS = 0.5
+RETRY_INTERVAL_SECONDS = 0.5
 """Between tries to reach a target that is out of reach."""
 
 
@@ -48,14 +48,14 @@
         self._on_refused = on_refused
         self._log = log
         self._probes: dict[str, asyncio.Task[bool]] = {}
-        self._findings: dict[str, tuple[float, bool]] = {}
-        self._watches: dict[str, asyncio.Task] = {}
+        self._results: dict[str, tuple[float, bool]] = {}
+        self._reconnect_tasks: dict[str, asyncio.Task] = {}
 
     async def reachable(self, target: TargetEntry) -> bool:
         """Return whether a target accepts a connection."""
         now = asyncio.get_running_loop().time()
-        told_at, found = self._findings.get(target.id, (float("-inf"), True))
-        if now - told_at < FRESH_SECONDS:
+        told_at, found = self._results.get(target.id, (float("-inf"), True))
+        if now - told_at < RESULT_VALID_SECONDS:
             return found
         probe = self._probes.get(target.id)
         if probe is None:
@@ -65,37 +65,37 @@
 
     def is_down(self, target_id: str) -> bool:
         """Return whether a target is out of reach, as far as is known."""
-        return target_id in self._watches
+        return target_id in self._reconnect_tasks
 
     def note_unreachable(self, target: TargetEntry) -> None:
         """Leave a target alone until a connection succeeds."""
-        if target.id not in self._watches:
+        if target.id not in self._reconnect_tasks:
             self._log.warning("target_unreachable", target=target.id)
             watch = asyncio.create_task(self._watch(target))
-            self._watches[target.id] = watch
+            self._reconnect_tasks[target.id] = watch
 
     def forget(self, target_id: str) -> None:
         """Drop what is known of a target that has left."""
-        self._findings.pop(target_id, None)
-        watch = self._watches.pop(target_id, None)
+        self._results.pop(target_id, None)
+        watch = self._reconnect_tasks.pop(target_id, None)
         if watch is not None:
             watch.cancel()
 
     async def _watch(self, target):
         while not await self._connects(target):
-            await asyncio.sleep(AGAIN_SECONDS)
-        self._watches.pop(target.id, None)
+            await asyncio.sleep(RETRY_INTERVAL_SECONDS)
+        self._reconnect_tasks.pop(target.id, None)
         self._log.info("target_reachable", target=target.id)
 
     async def _probe(self, target):
         try:
             found = False
-            for _ in range(TRIES):
+            for _ in range(PROBE_ATTEMPTS):
                 if await self._connects(target):
                     found = True
                     break
             now = asyncio.get_running_loop().time()
-            self._findings[target.id] = (now, found)
+            self._results[target.id] = (now, found)
             if not found:
                 self.note_unreachable(target)
             return found
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload.py
@@ -297,7 +297,7 @@
         """Let all hosts believe that each engine has requests of a host elsewhere."""
         counts = dict.fromkeys(self.engines, count)
         for host in self._hosts.values():
-            host.health.told("elsewhere", counts, pause_seconds)
+            host.health.update_remote_counts("elsewhere", counts, pause_seconds)
 
     def ips_heard(self) -> tuple[str, ...]:
         """Return the hosts that run; silence takes a while to be noticed."""
@@ -321,7 +321,7 @@
     def _deliver(self, sender, ip, message):
         host = self._hosts.get(ip)
         if host is not None:
-            host.order.take_message(message, sender)
+            host.order.handle_message(message, sender)
 
     @property
     def now(self) -> float:
@@ -336,8 +336,8 @@
             for ip, host in self._hosts.items():
                 for other, told in counts.items():
                     if other != ip and self._random.random() >= self.lost_beacons:
-                        host.health.told(other, told, BEACON_SECONDS)
-                        host.order.told(other, told)
+                        host.health.update_remote_counts(other, told, BEACON_SECONDS)
+                        host.order.reconcile_counts(other, told)
 
     async def load(
         self, per_second: float, until: float, prefix: str = "program"
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_cold_targets.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_cold_targets.py
@@ -157,7 +157,7 @@
                 AskEntry(SERVICE, "boot", 1, "p"),
                 AskPlace(SERVICE, "boot", 2, "p", "zone-a"),
             ):
-                host.order.take_message(ask, asking)
+                host.order.handle_message(ask, asking)
             return sent
 
         assert run_paused(main()) == []
@@ -179,23 +179,23 @@
     def entry(self, cold_seconds):
         return TargetEntry("t1", SERVICE, "ip", 1, "z", 6, cold_seconds=cold_seconds)
 
-    def told(self, log, *entries, is_new=False):
+    def update(self, log, *entries, is_new=False):
         async def main():
             cold = ColdTargets(1.5, 5.0, log)
-            return [cold.told(e, SPEC, is_new) for e in entries], cold
+            return [cold.update_from_entry(e, SPEC, is_new) for e in entries], cold
 
         return run_paused(main())
 
     def test_turning_cold_is_news_once(self, log):
         """Guards against other hosts that learn of a cold target late."""
         entries = [self.entry(s) for s in (0.0, 3.0, 1.8, 0.6)]
-        news, _ = self.told(log, *entries)
+        news, _ = self.update(log, *entries)
         assert news == [False, True, False, False]
 
     @pytest.mark.parametrize("seconds", [None, 1e9])
     def test_odd_time_of_a_new_target_is_taken_as_cold(self, log, seconds):
         """Guards against a target that says nonsense and is sent all there is."""
-        news, _ = self.told(log, self.entry(seconds), is_new=True)
+        news, _ = self.update(log, self.entry(seconds), is_new=True)
         assert news == [True]
 
     def test_absurd_time_ends(self, log):
@@ -203,7 +203,7 @@
 
         async def main():
             cold = ColdTargets(1.5, 5.0, log)
-            cold.told(self.entry(1e9), SPEC, False)
+            cold.update_from_entry(self.entry(1e9), SPEC, False)
             await asyncio.sleep(MAX_COLD_SECONDS + 1.0)
             return cold.is_cold("t1")
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_strike_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_strike_keeper.py
@@ -18,16 +18,16 @@
             keeper = StrikeKeeper(log)
             scenario(keeper)
             await asyncio.sleep(0.1)
-            return keeper.standing("f1"), keeper.news()
+            return keeper.status_of("f1"), keeper.strikes_to_broadcast()
 
         return run_paused(main())
 
     def test_two_dead_targets_refuse_a_request(self, log):
         def scenario(keeper):
-            keeper.broke("f1", target("t1"))
-            keeper.refused("t1")
-            keeper.broke("f1", target("t2", port=2))
-            keeper.refused("t2")
+            keeper.record_broken_request("f1", target("t1"))
+            keeper.record_refused_connection("t1")
+            keeper.record_broken_request("f1", target("t2", port=2))
+            keeper.record_refused_connection("t2")
 
         found, news = self.standing(log, scenario)
         assert isinstance(found, Refused)
@@ -42,9 +42,9 @@
 
         def scenario(keeper):
             for i in range(4):
-                keeper.broke("f1", target(f"t{i}", port=i + 1))
+                keeper.record_broken_request("f1", target(f"t{i}", port=i + 1))
             for i in range(4):
-                keeper.seen(target(f"t{i}", port=i + 1))
+                keeper.record_entry(target(f"t{i}", port=i + 1))
 
         found, news = self.standing(log, scenario)
         assert found == Clear()
@@ -52,17 +52,19 @@
 
     def test_another_start_at_the_address_tells_a_crash(self, log):
         def scenario(keeper):
-            keeper.broke("f1", target("t1"))
-            keeper.seen(target("t1b"))
-            keeper.broke("f1", target("t2", port=2, started_ms=1))
-            keeper.seen(target("t2", port=2, started_ms=9))
+            keeper.record_broken_request("f1", target("t1"))
+            keeper.record_entry(target("t1b"))
+            keeper.record_broken_request("f1", target("t2", port=2, started_ms=1))
+            keeper.record_entry(target("t2", port=2, started_ms=9))
 
         found, _ = self.standing(log, scenario)
         assert isinstance(found, Refused)
 
     def test_strikes_of_other_hosts_count(self, log):
         def scenario(keeper):
-            keeper.take([("f1", "t1", "1"), ("f1", "t1", "1"), ("f1", "t2", "1")])
+            keeper.add_remote_strikes(
+                [("f1", "t1", "1"), ("f1", "t1", "1"), ("f1", "t2", "1")]
+            )
 
         found, news = self.standing(log, scenario)
         assert isinstance(found, Refused)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_target_prober.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_target_prober.py
@@ -5,7 +5,7 @@
 from swifttide_core.forwarding import TargetEntry
 from swifttide_daemon.gateway import ConnectionPool
 from swifttide_daemon.gateway.targets._http_client import ClientConnection
-from swifttide_daemon.gateway.targets._target_prober import TRIES, TargetProber
+from swifttide_daemon.gateway.targets._target_prober import PROBE_ATTEMPTS, TargetProber
 from swifttide_standins.paused_clock import run_paused
 
 TARGET = TargetEntry("t1", "s", "10.0.0.1", 1, "zone-a", 12)
@@ -50,7 +50,7 @@
         assert found == [False] * 9
         assert (is_down, after) == (True, False)
         # The probe's own tries, and the first of those that go on in the background.
-        assert n_tries <= TRIES + 1
+        assert n_tries <= PROBE_ATTEMPTS + 1
         assert refused == []
 
     def test_refused_connection_tells_a_crash(self, log, monkeypatch):
