--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -16,14 +16,17 @@
 
 from swifttide_daemon.gateway.callers._program_entry import ProgramEntry
 from swifttide_daemon.gateway.tests._overload import N_TURNS, Fleet
-from swifttide_daemon.gateway.tests._overload_engines import PLACES, TURN_SECONDS
+from swifttide_daemon.gateway.tests._overload_engines import (
+    ENGINE_CONCURRENCY,
+    TURN_SECONDS,
+)
 from swifttide_daemon.gateway.tests.conftest import FakeStore
 from swifttide_daemon.telemetry import EventLog
 from swifttide_standins.paused_clock import run_paused
 
 N_HOSTS = 5
 N_ENGINES = 2
-BEARABLE = N_ENGINES * PLACES / TURN_SECONDS / N_TURNS
+BEARABLE = N_ENGINES * ENGINE_CONCURRENCY / TURN_SECONDS / N_TURNS
 
 CALM = 0.6
 """Load before and after a burst, as a part of what the engines can finish."""
@@ -72,11 +75,11 @@
     """Play a burst once."""
     log = EventLog(logging.getLogger("swifttide.bench"))
     fleet = Fleet(N_HOSTS, N_ENGINES, FakeStore(), log, seed, entry_type)
-    telling = asyncio.create_task(fleet.tell())
+    telling = asyncio.create_task(fleet.exchange_beacons())
     calm = asyncio.create_task(fleet.load(CALM * BEARABLE, END))
     await asyncio.sleep(BURST_AT)
     if case.loses_hosts:
-        fleet.lose_all()
+        fleet.kill_all()
         await asyncio.sleep(BACK_SECONDS)
         fleet.start_all()
     more = (case.burst - CALM) * BEARABLE
@@ -89,14 +92,16 @@
 def _result(fleet) -> Result:
     outcomes = fleet.outcomes
     starts = range(int(BURST_AT) + 4, int(BURST_END), int(WINDOW_SECONDS))
-    windows = [outcomes.count(outcomes.in_time, s, s + WINDOW_SECONDS) for s in starts]
+    windows = [
+        outcomes.count(outcomes.finished_in_time, s, s + WINDOW_SECONDS) for s in starts
+    ]
     bearable = BEARABLE * WINDOW_SECONDS
     after = BURST_END + 2.0
-    begun = outcomes.count(outcomes.begun, after, END)
+    begun = outcomes.count(outcomes.started, after, END)
     return Result(
         min(windows) / bearable,
         sum(windows) / len(windows) / bearable,
-        outcomes.count(outcomes.in_time, after, END) / begun,
+        outcomes.count(outcomes.finished_in_time, after, END) / begun,
         len(outcomes.refusals),
     )
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload.py
@@ -39,23 +39,25 @@
 from swifttide_daemon.gateway.tests._overload_engines import (
     SERVICE,
     TURN_SECONDS,
-    Channel,
-    Client,
+    CallerChannel,
     Engine,
-    Wire,
+    EngineClient,
+    FakeFields,
 )
 
 N_TURNS = 4
-PAUSE_SECONDS = 0.08
+TURN_PAUSE_SECONDS = 0.08
 """Between the turns of a program."""
 
-AIM_SECONDS = 1.6 * (N_TURNS * TURN_SECONDS + (N_TURNS - 1) * PAUSE_SECONDS) + 0.2
+PROGRAM_TARGET_SECONDS = (
+    1.6 * (N_TURNS * TURN_SECONDS + (N_TURNS - 1) * TURN_PAUSE_SECONDS) + 0.2
+)
 """Time in which a program should end; after twice that its caller gives up."""
 
 BEACON_SECONDS = 0.2
 DATAGRAM_SECONDS = 0.001
-MAX_LATE_SECONDS = 1.0
-BOOTS = itertools.count()
+MAX_DUPLICATE_DELAY_SECONDS = 1.0
+BOOT_NUMBERS = itertools.count()
 
 ROUTE = Route(
     name="chat",
@@ -91,28 +93,34 @@
         self.beliefs.apply_config(config, "store")
         self.beliefs.replace_targets(entries_of(engines))
         self.health = TargetHealth(lambda target_id: False)
-        heard = HeardHosts(ip, wires)
+        heard = FakeMembership(ip, wires)
         self.order = OrderKeeper(
             heard,
             KeeperChoice(heard, wires.ips_heard),
             self.beliefs,
             self.health,
-            functools.partial(wires.carry, ip),
+            functools.partial(wires.send_datagram, ip),
             log,
         )
         budgets = BudgetKeeper(
-            store, ip, _nothing, _nothing, _released, RowReaper(store, log), log
+            store,
+            ip,
+            _return_zero,
+            _return_zero,
+            _return_released,
+            RowReaper(store, log),
+            log,
         )
         strikes = StrikeKeeper(log)
         metrics = GatewayMetrics(ip, "zone-a")
-        wire = Wire()
+        wire = FakeFields()
         relay = AnswerRelay(wire, None, lambda: None, self.beliefs, metrics, log)
         entry = entry_type(self.beliefs, self.health, self.order, log)
         self.forwarder = Forwarder(
             cfg,
             self.beliefs,
             wire,
-            Client(all_engines),
+            EngineClient(all_engines),
             self.health,
             self.order,
             heard,
@@ -125,11 +133,11 @@
         )
 
 
-class HeardHosts:
+class FakeMembership:
     """The other hosts as one host hears them."""
 
     def __init__(self, ip: str, wires):
-        self.own = Peer(ip, 1, "zone-a", f"boot-{next(BOOTS)}")
+        self.own = Peer(ip, 1, "zone-a", f"boot-{next(BOOT_NUMBERS)}")
         self._wires = wires
 
     def is_heard(self, ip: str) -> bool:
@@ -145,11 +153,11 @@
         return Peer(ip, 1, "zone-a", "") if self.is_heard(ip) else None
 
 
-async def _nothing(*_) -> int:
+async def _return_zero(*_) -> int:
     return 0
 
 
-async def _released(*_) -> ReleaseVerdict:
+async def _return_released(*_) -> ReleaseVerdict:
     return ReleaseVerdict.RELEASED
 
 
@@ -180,9 +188,9 @@
 class Outcomes:
     """Programs by the second at which they began."""
 
-    begun: list[float] = field(default_factory=list)
-    in_time: list[float] = field(default_factory=list)
-    served_at: dict[str, float] = field(default_factory=dict)
+    started: list[float] = field(default_factory=list)
+    finished_in_time: list[float] = field(default_factory=list)
+    first_answered_at: dict[str, float] = field(default_factory=dict)
     """When the first turn of each program had been answered."""
     refusals: list[Refused] = field(default_factory=list)
 
@@ -217,9 +225,9 @@
         # In the order of requests, so that each run of a seed is the same; by host.
         self._handling: dict[asyncio.Task, str] = {}
         self._attempts = itertools.count()
-        self.lost_beacons = 0.0
+        self.lost_fraction = 0.0
         """Part of the beacons and other datagrams that don't arrive."""
-        self.doubled = 0.0
+        self.duplicated_fraction = 0.0
         """Part of the other datagrams that come once more, late."""
         self._began_at = asyncio.get_running_loop().time()
         self.start_all()
@@ -242,24 +250,24 @@
             self._config,
         )
 
-    def lose_all(self) -> None:
+    def kill_all(self) -> None:
         """Kill all hosts with what they are doing."""
         for ip in self.ips:
-            self.lose(ip)
+            self.kill(ip)
 
-    def lose(self, ip: str) -> None:
+    def kill(self, ip: str) -> None:
         """Kill a host with what it is doing."""
         self._hosts.pop(ip, None)
         for task in [t for t, at in self._handling.items() if at == ip]:
             del self._handling[task]
             task.cancel()
 
-    def tell_entry(self, entry: TargetEntry) -> None:
+    def publish_entry(self, entry: TargetEntry) -> None:
         """Let all hosts have an engine's entry, as it is written anew."""
         for host in self._hosts.values():
             host.beliefs.put_target(entry)
 
-    def take_engines(self, count: int) -> None:
+    def remove_engines(self, count: int) -> None:
         """Take engines out of service; what they run is finished."""
         for target_id in list(self.engines)[:count]:
             for host in self._hosts.values():
@@ -289,11 +297,11 @@
             if host is not None and ip not in self._hosts:
                 self._hosts[ip] = host
 
-    def ran(self) -> set[str]:
+    def started_attempts(self) -> set[str]:
         """Return the attempts that engines began to run."""
-        return {a for e in self._all_engines.values() for a in e.ran}
+        return {a for e in self._all_engines.values() for a in e.started_attempts}
 
-    def fill_engines(self, count: int, pause_seconds: float = 60.0) -> None:
+    def report_engine_load(self, count: int, pause_seconds: float = 60.0) -> None:
         """Let all hosts believe that each engine has requests of a host elsewhere."""
         counts = dict.fromkeys(self.engines, count)
         for host in self._hosts.values():
@@ -303,17 +311,19 @@
         """Return the hosts that run; silence takes a while to be noticed."""
         return tuple(self.ips)
 
-    def carry(self, sender: str, ip: str, message) -> None:
+    def send_datagram(self, sender: str, ip: str, message) -> None:
         """Deliver a datagram some time later, if it isn't lost; it may come twice."""
-        if self._random.random() < self.lost_beacons:
+        if self._random.random() < self.lost_fraction:
             return
         loop = asyncio.get_running_loop()
         loop.call_later(DATAGRAM_SECONDS, self._deliver, sender, ip, message)
-        if self._random.random() < self.doubled:
-            late = DATAGRAM_SECONDS + self._random.uniform(0.0, MAX_LATE_SECONDS)
+        if self._random.random() < self.duplicated_fraction:
+            late = DATAGRAM_SECONDS + self._random.uniform(
+                0.0, MAX_DUPLICATE_DELAY_SECONDS
+            )
             loop.call_later(late, self._deliver, sender, ip, message)
 
-    def forge(self, message) -> None:
+    def deliver_forged(self, message) -> None:
         """Deliver a message to all hosts as if another one had sent it."""
         for ip in self._hosts:
             self._deliver(self._random.choice(self.ips), ip, message)
@@ -328,14 +338,14 @@
         """Seconds since the start."""
         return asyncio.get_running_loop().time() - self._began_at
 
-    async def tell(self) -> None:
+    async def exchange_beacons(self) -> None:
         """Exchange beacons until cancelled."""
         while True:
             await asyncio.sleep(BEACON_SECONDS)
             counts = {ip: h.health.own_counts() for ip, h in self._hosts.items()}
             for ip, host in self._hosts.items():
                 for other, told in counts.items():
-                    if other != ip and self._random.random() >= self.lost_beacons:
+                    if other != ip and self._random.random() >= self.lost_fraction:
                         host.health.update_remote_counts(other, told, BEACON_SECONDS)
                         host.order.reconcile_counts(other, told)
 
@@ -352,18 +362,18 @@
 
     async def _program(self, name):
         began = self.now
-        self.outcomes.begun.append(began)
+        self.outcomes.started.append(began)
         for _ in range(N_TURNS):
             if not await self._turn(name, began):
                 return
-            await asyncio.sleep(PAUSE_SECONDS)
-        if self.now - PAUSE_SECONDS - began <= AIM_SECONDS:
-            self.outcomes.in_time.append(began)
+            await asyncio.sleep(TURN_PAUSE_SECONDS)
+        if self.now - TURN_PAUSE_SECONDS - began <= PROGRAM_TARGET_SECONDS:
+            self.outcomes.finished_in_time.append(began)
 
     async def _turn(self, name, began) -> bool:
         """Send a turn, and after a failure up to twice more."""
         for _ in range(3):
-            left = began + 2 * AIM_SECONDS - self.now
+            left = began + 2 * PROGRAM_TARGET_SECONDS - self.now
             if left <= 0:
                 return False
             channel = await self.ask(name, left)
@@ -375,13 +385,13 @@
             await asyncio.sleep(wait)
         return False
 
-    async def ask(self, name, left) -> Channel | None:
+    async def ask(self, name, left) -> CallerChannel | None:
         """Send a turn to some host; None if there was no whole answer in time."""
         if not self._hosts:
             return None
         ip = self._random.choice(list(self._hosts))
         host = self._hosts[ip]
-        channel, sent_at = Channel(), self.now
+        channel, sent_at = CallerChannel(), self.now
         turn = TurnTerms(name, "line", 1_000, 10)
         req = CallerRequest(
             f"attempt-{next(self._attempts)}",
@@ -392,7 +402,7 @@
             b"",
             asyncio.get_running_loop().time(),
             timeout_seconds=left,
-            program_seconds_left=left - AIM_SECONDS,
+            program_seconds_left=left - PROGRAM_TARGET_SECONDS,
             turn=turn,
         )
         handling = asyncio.create_task(host.forwarder.handle(req, channel))
@@ -417,5 +427,5 @@
                 )
             )
         elif channel.is_whole:
-            self.outcomes.served_at.setdefault(name, self.now)
+            self.outcomes.first_answered_at.setdefault(name, self.now)
         return channel
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload_engines.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload_engines.py
@@ -10,7 +10,7 @@
 )
 
 SERVICE = "models"
-PLACES = 12
+ENGINE_CONCURRENCY = 12
 """Turns that an engine runs at once; as many wait there, what is beyond is shed."""
 
 TURN_SECONDS = 0.25
@@ -22,29 +22,34 @@
 
     def __init__(self, number: int):
         self.entry = TargetEntry(
-            f"engine-{number}", SERVICE, f"10.9.0.{number}", 1, "zone-a", PLACES
+            f"engine-{number}",
+            SERVICE,
+            f"10.9.0.{number}",
+            1,
+            "zone-a",
+            ENGINE_CONCURRENCY,
         )
-        self.free = asyncio.Semaphore(PLACES)
+        self.slots = asyncio.Semaphore(ENGINE_CONCURRENCY)
         self.n_waiting = 0
-        self.ran: list[str] = []
+        self.started_attempts: list[str] = []
         """Attempts that it began to run."""
-        self.reached_at: list[float] = []
+        self.arrival_times: list[float] = []
         """When each request reached it."""
 
     async def begin(self, attempt: str) -> None:
         """Wait for a place; raises `TargetFailure` where too many wait."""
-        self.reached_at.append(asyncio.get_running_loop().time())
-        if self.free.locked() and self.n_waiting >= PLACES:
+        self.arrival_times.append(asyncio.get_running_loop().time())
+        if self.slots.locked() and self.n_waiting >= ENGINE_CONCURRENCY:
             raise TargetFailure(NotRun("refused with 503"))
         self.n_waiting += 1
         try:
-            await self.free.acquire()
+            await self.slots.acquire()
         finally:
             self.n_waiting -= 1
-        self.ran.append(attempt)
+        self.started_attempts.append(attempt)
 
 
-class Exchange:
+class EngineExchange:
     """One turn at an engine, as the gateway's client shows it."""
 
     def __init__(self, engine: Engine):
@@ -71,10 +76,10 @@
     def _end(self):
         if not self.complete:
             self.complete = True
-            self._engine.free.release()
+            self._engine.slots.release()
 
 
-class Client:
+class EngineClient:
     """Carries turns to engines."""
 
     def __init__(self, engines: dict[str, Engine]):
@@ -86,12 +91,12 @@
     async def connect(self, target: TargetEntry) -> Engine:
         return self._engines[target.id]
 
-    async def send(self, engine, target, attempt, *_) -> Exchange:
+    async def send(self, engine, target, attempt, *_) -> EngineExchange:
         await engine.begin(attempt)
-        return Exchange(engine)
+        return EngineExchange(engine)
 
 
-class Wire:
+class FakeFields:
     """Header fields that nobody reads."""
 
     def target_fields(self, *_):
@@ -104,7 +109,7 @@
         return [(b"retry", str(retry_after).encode())]
 
 
-class Channel:
+class CallerChannel:
     """What one caller gets."""
 
     def __init__(self):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_cold_targets.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_cold_targets.py
@@ -23,23 +23,23 @@
 
 N_HOSTS = 6
 N_ENGINES = 6
-BEARS = 12.0
-MOST = BEARS * COLD_EXCESS + COLD_EXTRA
+COLD_REQUESTS_PER_SECOND = 12.0
+MAX_REQUESTS_PER_SECOND = COLD_REQUESTS_PER_SECOND * COLD_EXCESS + COLD_EXTRA
 COLD_SECONDS = 3.0
 HEARTBEAT_SECONDS = 1.2
-LAG_SECONDS = 1.0
-END = 14.0
+MAX_ENTRY_DELAY_SECONDS = 1.0
+END_SECONDS = 14.0
 SPEC = ServiceSpec(
     SERVICE,
     tokens_per_event=1,
-    cold_requests_per_second=BEARS,
+    cold_requests_per_second=COLD_REQUESTS_PER_SECOND,
     cold_seconds=COLD_SECONDS,
 )
 CONFIG = RoutingConfig(1, (ROUTE,), (SPEC,))
 SEEDS = range(1, 1 + int(os.environ.get("SWIFTTIDE_COLD_SEEDS", "4")))
 
 
-class Chills:
+class ColdEpisodes:
     """Turns engines cold, and tells the hosts later.
 
     Parameters
@@ -57,7 +57,7 @@
         """Draw engines that turn cold, hosts and messages that are lost."""
         kinds = [self._cold, self._cold, self._host_lost, self._frozen, self._lossy]
         async with asyncio.TaskGroup() as tasks:
-            while self._fleet.now < END - 5.0:
+            while self._fleet.now < END_SECONDS - 5.0:
                 tasks.create_task(self._random.choice(kinds)())
                 await asyncio.sleep(self._random.uniform(0.1, 0.8))
 
@@ -70,17 +70,17 @@
         for engine in chosen:
             self.spans.append((engine.entry.id, began, until))
         late = self._random.uniform(0.0, HEARTBEAT_SECONDS)
-        await asyncio.sleep(late + self._random.uniform(0.0, LAG_SECONDS))
+        await asyncio.sleep(late + self._random.uniform(0.0, MAX_ENTRY_DELAY_SECONDS))
         while (left := until - loop.time()) > 0.0:
             for engine in chosen:
-                self._fleet.tell_entry(
+                self._fleet.publish_entry(
                     dataclasses.replace(engine.entry, cold_seconds=left)
                 )
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
     async def _host_lost(self):
         ip = self._random.choice(self._fleet.ips)
-        self._fleet.lose(ip)
+        self._fleet.kill(ip)
         await asyncio.sleep(self._random.uniform(0.1, 1.5))
         self._fleet.start(ip)
 
@@ -89,12 +89,12 @@
             await asyncio.sleep(self._random.uniform(0.2, 2.0))
 
     async def _lossy(self):
-        self._fleet.lost_beacons = self._random.uniform(0.05, 0.3)
+        self._fleet.lost_fraction = self._random.uniform(0.05, 0.3)
         await asyncio.sleep(self._random.uniform(0.2, 1.0))
-        self._fleet.lost_beacons = 0.0
+        self._fleet.lost_fraction = 0.0
 
 
-def most_in_a_second(times: list[float]) -> int:
+def max_count_per_second(times: list[float]) -> int:
     """Return the most times that lie in any one second."""
     first, most = 0, 0
     for last, time in enumerate(times):
@@ -106,28 +106,32 @@
 
 class TestColdTargets:
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_get_no_more_than_they_bear(self, store, log, seed):
+    def test_request_rate_stays_within_the_limit(self, store, log, seed):
         """Guards against cold targets that crash under what all hosts send at once."""
 
         async def main():
             fleet = Fleet(N_HOSTS, N_ENGINES, store, log, seed, config=CONFIG)
-            chills = Chills(fleet, seed)
-            load = fleet.load(2.5 * N_ENGINES * MOST / N_TURNS, END, "burst")
-            telling = asyncio.create_task(fleet.tell())
-            await asyncio.gather(chills.run(), load)
-            telling.cancel()
+            episodes = ColdEpisodes(fleet, seed)
+            load = fleet.load(
+                2.5 * N_ENGINES * MAX_REQUESTS_PER_SECOND / N_TURNS,
+                END_SECONDS,
+                "burst",
+            )
+            beacons = asyncio.create_task(fleet.exchange_beacons())
+            await asyncio.gather(episodes.run(), load)
+            beacons.cancel()
             return [
-                most_in_a_second(
-                    [t for t in fleet.engines[id].reached_at if start <= t < end]
+                max_count_per_second(
+                    [t for t in fleet.engines[id].arrival_times if start <= t < end]
                 )
-                for id, start, end in chills.spans
+                for id, start, end in episodes.spans
             ]
 
         found = run_paused(main())
         assert found
-        assert max(found) <= MOST, found
+        assert max(found) <= MAX_REQUESTS_PER_SECOND, found
 
-    def test_new_keeper_turns_no_program_away_for_its_small_pace(self, log):
+    def test_low_rate_of_a_new_keeper_turns_no_program_away(self, log):
         """Guards against programs refused for seconds after each loss of a keeper."""
 
         async def main():
@@ -143,7 +147,7 @@
         assert isinstance(places[-1], PlaceLater)
         assert entered == Entered()
 
-    def test_host_that_starts_answers_no_question(self, log):
+    def test_host_without_configuration_answers_no_question(self, log):
         """Guards against an error at a host that doesn't know its configuration yet."""
 
         async def main():
@@ -162,7 +166,7 @@
 
         assert run_paused(main()) == []
 
-    def test_zone_taken_back_counts_as_cold(self, log):
+    def test_targets_of_a_restored_zone_count_as_cold(self, log):
         """Guards against a rush to targets that turned cold in an emptied zone."""
 
         async def main():
@@ -175,7 +179,7 @@
         assert run_paused(main()) == [True, True]
 
 
-class TestEntries:
+class TestTargetEntries:
     def entry(self, cold_seconds):
         return TargetEntry("t1", SERVICE, "ip", 1, "z", 6, cold_seconds=cold_seconds)
 
@@ -186,19 +190,19 @@
 
         return run_paused(main())
 
-    def test_turning_cold_is_news_once(self, log):
+    def test_turning_cold_is_reported_once(self, log):
         """Guards against other hosts that learn of a cold target late."""
         entries = [self.entry(s) for s in (0.0, 3.0, 1.8, 0.6)]
-        news, _ = self.update(log, *entries)
-        assert news == [False, True, False, False]
+        turned_cold, _ = self.update(log, *entries)
+        assert turned_cold == [False, True, False, False]
 
     @pytest.mark.parametrize("seconds", [None, 1e9])
-    def test_odd_time_of_a_new_target_is_taken_as_cold(self, log, seconds):
+    def test_new_target_with_invalid_time_counts_as_cold(self, log, seconds):
         """Guards against a target that says nonsense and is sent all there is."""
-        news, _ = self.update(log, self.entry(seconds), is_new=True)
-        assert news == [True]
+        turned_cold, _ = self.update(log, self.entry(seconds), is_new=True)
+        assert turned_cold == [True]
 
-    def test_absurd_time_ends(self, log):
+    def test_excessive_cold_time_is_capped(self, log):
         """Guards against a target that stays cold for ever by one odd entry."""
 
         async def main():
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_overload_faults.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_overload_faults.py
@@ -14,7 +14,7 @@
 )
 from swifttide_daemon.gateway.tests._overload import N_TURNS, Fleet
 from swifttide_daemon.gateway.tests._overload_engines import (
-    PLACES,
+    ENGINE_CONCURRENCY,
     SERVICE,
     TURN_SECONDS,
 )
@@ -23,20 +23,20 @@
 N_HOSTS = 4
 N_ENGINES = 3
 
-BEARABLE = N_ENGINES * PLACES / TURN_SECONDS / N_TURNS
+CAPACITY_PROGRAMS_PER_SECOND = N_ENGINES * ENGINE_CONCURRENCY / TURN_SECONDS / N_TURNS
 """Programs a second that all engines together can finish."""
 
-TROUBLE_SECONDS = 12.0
+FAULT_PHASE_SECONDS = 12.0
 
-SETTLED_AT = TROUBLE_SECONDS + 8.0
+SETTLED_AT_SECONDS = FAULT_PHASE_SECONDS + 8.0
 """Programs that began in the trouble have ended or been given up by then."""
 
-END = SETTLED_AT + 6.0
+END_SECONDS = SETTLED_AT_SECONDS + 6.0
 
 SEEDS = range(1, 1 + int(os.environ.get("SWIFTTIDE_OVERLOAD_SEEDS", "6")))
 
 
-class Trouble:
+class FaultInjector:
     """Draws what goes wrong, and sets all right at the end."""
 
     def __init__(self, fleet: Fleet, seed: int):
@@ -49,48 +49,48 @@
         kinds += [self._beacons_lost, self._beacon_forged, self._host_frozen]
         kinds += [self._datagrams_doubled, self._order_forged]
         async with asyncio.TaskGroup() as tasks:
-            while self._fleet.now < TROUBLE_SECONDS - 3.0:
+            while self._fleet.now < FAULT_PHASE_SECONDS - 3.0:
                 tasks.create_task(self._random.choice(kinds)())
                 await asyncio.sleep(self._random.uniform(0.2, 1.5))
-        self._fleet.lost_beacons = 0.0
+        self._fleet.lost_fraction = 0.0
         self._fleet.return_engines()
         self._fleet.start_missing()
 
     async def _host_lost(self):
         ip = self._random.choice(self._fleet.ips)
-        self._fleet.lose(ip)
+        self._fleet.kill(ip)
         await asyncio.sleep(self._random.uniform(0.1, 2.0))
         self._fleet.start(ip)
 
     async def _all_lost(self):
-        self._fleet.lose_all()
+        self._fleet.kill_all()
         await asyncio.sleep(self._random.uniform(0.1, 1.5))
         self._fleet.start_missing()
 
     async def _burst(self):
-        per_second = BEARABLE * self._random.uniform(0.3, 3.0)
+        per_second = CAPACITY_PROGRAMS_PER_SECOND * self._random.uniform(0.3, 3.0)
         until = self._fleet.now + self._random.uniform(0.5, 3.0)
         await self._fleet.load(per_second, until, f"burst-{until}")
 
     async def _engine_leaves(self):
         if len(self._fleet.engines) > 1:
-            self._fleet.take_engines(1)
+            self._fleet.remove_engines(1)
         await asyncio.sleep(self._random.uniform(0.5, 3.0))
         self._fleet.return_engines()
 
     async def _beacons_lost(self):
-        self._fleet.lost_beacons = self._random.uniform(0.1, 1.0)
+        self._fleet.lost_fraction = self._random.uniform(0.1, 1.0)
         await asyncio.sleep(self._random.uniform(0.2, 2.0))
-        self._fleet.lost_beacons = 0.0
+        self._fleet.lost_fraction = 0.0
 
     async def _beacon_forged(self):
         """Tell of engines that are very full, or of fewer than no requests."""
-        self._fleet.fill_engines(self._random.choice([-1_000, 5, 10**9]), 0.2)
+        self._fleet.report_engine_load(self._random.choice([-1_000, 5, 10**9]), 0.2)
 
     async def _datagrams_doubled(self):
-        self._fleet.doubled = self._random.uniform(0.1, 1.0)
+        self._fleet.duplicated_fraction = self._random.uniform(0.1, 1.0)
         await asyncio.sleep(self._random.uniform(0.2, 2.0))
-        self._fleet.doubled = 0.0
+        self._fleet.duplicated_fraction = 0.0
 
     async def _order_forged(self):
         """Take places for turns that nobody sends, answer and end others' turns."""
@@ -101,7 +101,7 @@
             OrderAnswer(boot, number, "nowhere", 1e9),
             TurnLeft(SERVICE, boot, number + 1, "engine-1", 1e9),
         ):
-            self._fleet.forge(message)
+            self._fleet.deliver_forged(message)
 
     async def _host_frozen(self):
         """Stop a host for a while; its counts elsewhere stand still."""
@@ -113,7 +113,7 @@
     """What must hold whatever comes together."""
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_promises_hold_and_service_returns(self, store, log, seed):
+    def test_guarantees_hold_and_service_recovers(self, store, log, seed):
         """Hosts die and come back, engines leave, bursts come, messages between hosts
         are lost or forged, in series and at once. A caller who was told that its turn
         hasn't run must be able to send it again: had it run, it would run twice. A
@@ -122,24 +122,30 @@
         would turn callers away for nothing.
         """
 
-        async def play():
+        async def run_faults():
             fleet = Fleet(N_HOSTS, N_ENGINES, store, log, seed)
-            telling = asyncio.create_task(fleet.tell())
-            loading = asyncio.create_task(fleet.load(0.6 * BEARABLE, END))
-            await Trouble(fleet, seed).run()
+            beacons = asyncio.create_task(fleet.exchange_beacons())
+            loading = asyncio.create_task(
+                fleet.load(0.6 * CAPACITY_PROGRAMS_PER_SECOND, END_SECONDS)
+            )
+            await FaultInjector(fleet, seed).run()
             await loading
-            telling.cancel()
+            beacons.cancel()
             return fleet
 
-        fleet = run_paused(play())
+        fleet = run_paused(run_faults())
         outcomes = fleet.outcomes
-        assert not {r.attempt for r in outcomes.refusals} & fleet.ran()
-        assert [r for r in outcomes.refusals if is_wrong(r, outcomes)] == []
-        served = outcomes.count(outcomes.in_time, SETTLED_AT, END)
-        assert served >= 0.95 * outcomes.count(outcomes.begun, SETTLED_AT, END)
+        assert not {r.attempt for r in outcomes.refusals} & fleet.started_attempts()
+        assert [r for r in outcomes.refusals if was_wrongly_refused(r, outcomes)] == []
+        served = outcomes.count(
+            outcomes.finished_in_time, SETTLED_AT_SECONDS, END_SECONDS
+        )
+        assert served >= 0.95 * outcomes.count(
+            outcomes.started, SETTLED_AT_SECONDS, END_SECONDS
+        )
 
 
-def is_wrong(refused, outcomes) -> bool:
+def was_wrongly_refused(refused, outcomes) -> bool:
     """Whether a program that had begun was turned away as a new one."""
-    served_at = outcomes.served_at.get(refused.program, END)
+    served_at = outcomes.first_answered_at.get(refused.program, END_SECONDS)
     return refused.reason == "targets_full" and served_at < refused.at
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_strike_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_strike_keeper.py
@@ -13,7 +13,7 @@
 
 
 class TestStrikes:
-    def standing(self, log, scenario):
+    def status(self, log, scenario):
         async def main():
             keeper = StrikeKeeper(log)
             scenario(keeper)
@@ -22,18 +22,18 @@
 
         return run_paused(main())
 
-    def test_two_dead_targets_refuse_a_request(self, log):
+    def test_request_is_refused_after_two_crashed_targets(self, log):
         def scenario(keeper):
             keeper.record_broken_request("f1", target("t1"))
             keeper.record_refused_connection("t1")
             keeper.record_broken_request("f1", target("t2", port=2))
             keeper.record_refused_connection("t2")
 
-        found, news = self.standing(log, scenario)
+        found, sent_strikes = self.status(log, scenario)
         assert isinstance(found, Refused)
-        assert len(news) == 2
+        assert len(sent_strikes) == 2
 
-    def test_cut_makes_nobody_guilty(self, log):
+    def test_network_partition_adds_no_strikes(self, log):
         """A zone is cut off; connections break and targets' entries lapse.
 
         Their requests were innocent. Refused, they would fail for ten minutes at all
@@ -46,18 +46,18 @@
             for i in range(4):
                 keeper.record_entry(target(f"t{i}", port=i + 1))
 
-        found, news = self.standing(log, scenario)
+        found, sent_strikes = self.status(log, scenario)
         assert found == Clear()
-        assert news == []
+        assert sent_strikes == []
 
-    def test_another_start_at_the_address_tells_a_crash(self, log):
+    def test_restart_at_the_address_shows_a_crash(self, log):
         def scenario(keeper):
             keeper.record_broken_request("f1", target("t1"))
             keeper.record_entry(target("t1b"))
             keeper.record_broken_request("f1", target("t2", port=2, started_ms=1))
             keeper.record_entry(target("t2", port=2, started_ms=9))
 
-        found, _ = self.standing(log, scenario)
+        found, _ = self.status(log, scenario)
         assert isinstance(found, Refused)
 
     def test_strikes_of_other_hosts_count(self, log):
@@ -66,6 +66,6 @@
                 [("f1", "t1", "1"), ("f1", "t1", "1"), ("f1", "t2", "1")]
             )
 
-        found, news = self.standing(log, scenario)
+        found, sent_strikes = self.status(log, scenario)
         assert isinstance(found, Refused)
-        assert news == []
+        assert sent_strikes == []
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_target_health.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_target_health.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_sums_follow_what_hosts_tell(seed):
+def test_totals_follow_reported_counts(seed):
     """Guards against sums that drift, by which a target would look full for ever."""
 
     async def play():
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_target_prober.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_target_prober.py
@@ -11,24 +11,24 @@
 TARGET = TargetEntry("t1", "s", "10.0.0.1", 1, "zone-a", 12)
 
 
-class Network:
+class FakeNetwork:
     """Says how each attempt to connect ends."""
 
-    def __init__(self, monkeypatch, endings):
-        self.endings = list(endings)
+    def __init__(self, monkeypatch, errors):
+        self.errors = list(errors)
         self.n_tries = 0
         monkeypatch.setattr(ClientConnection, "open", self.open)
 
     async def open(self, ip, port):
         self.n_tries += 1
         await asyncio.sleep(0.25)
-        raise self.endings.pop(0) if len(self.endings) > 1 else self.endings[0]
+        raise self.errors.pop(0) if len(self.errors) > 1 else self.errors[0]
 
 
 class TestTargetProber:
-    def probe(self, log, endings, monkeypatch):
+    def probe(self, log, errors, monkeypatch):
         refused = []
-        network = Network(monkeypatch, endings)
+        network = FakeNetwork(monkeypatch, errors)
 
         async def main():
             prober = TargetProber(ConnectionPool(), refused.append, log)
@@ -53,6 +53,6 @@
         assert n_tries <= PROBE_ATTEMPTS + 1
         assert refused == []
 
-    def test_refused_connection_tells_a_crash(self, log, monkeypatch):
+    def test_refused_connection_shows_a_crash(self, log, monkeypatch):
         _, refused = self.probe(log, [ConnectionRefusedError()], monkeypatch)
         assert set(refused) == {"t1"}
