--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Targets: connections to them, their answers, health, order and pace."""
+"""Client side of the targets: connections, answers, health, order and rate limits."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_cold_targets.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_cold_targets.py
@@ -1,4 +1,12 @@
-"""Which targets are cold, and how many requests each may get."""
+"""Tracks cold targets and limits the rate of requests that each target gets.
+
+A cold target can serve only a low rate; its entry says for how many more seconds. From
+the entries and the service's settings this module decides which targets are cold and
+how many requests per second each target may get, from the keeper of the order of turns
+and from a host that sends without a keeper. Targets that are not known to be cold are
+limited too, with a higher rate. Without the limits, cold targets crash when all hosts
+send to them at once.
+"""
 
 import asyncio
 from collections.abc import Sequence
@@ -8,21 +16,21 @@
 from swifttide_daemon.telemetry import EventLog
 
 COLD_MARGIN_SECONDS = 0.5
-"""A target counts as cold for so much longer than it said: for the way of its entry,
-and for work that was sent before its end."""
+"""Time that is added to the cold time that a target reports. It covers the delay with
+which the entry arrives and the work that was sent before the cold time ended."""
 
 MAX_COLD_SECONDS = 60.0
-"""A target that says more is believed for so long; each entry begins anew."""
+"""Upper bound of a reported cold time. It applies to each entry anew."""
 
 
 class ColdTargets:
-    """Remembers cold targets and what may be sent to them.
+    """Remembers until when targets are cold, and limits the requests sent to them.
 
     Parameters
     ----------
     excess, extra : float
-        A cold target may get this many times what it bears in a second, and so many
-        requests more.
+        The limit of a cold target, in requests per second, is ``excess`` times the
+        rate that it can serve, plus ``extra``.
     log : EventLog
     """
 
@@ -35,25 +43,26 @@
         self._pace = TargetPace()
 
     def terms(self, service: ServiceSpec) -> ColdTerms:
-        """Return what cold targets of a service bear."""
-        bears = service.cold_requests_per_second
-        return ColdTerms(bears, bears * self._excess + self._extra)
+        """Return the limits for the cold targets of a service."""
+        base_rate = service.cold_requests_per_second
+        return ColdTerms(base_rate, base_rate * self._excess + self._extra)
 
     def is_cold(self, target_id: str) -> bool:
-        """Whether a target is known to be cold."""
+        """Return whether a target is known to be cold."""
         return _now() < self._cold_until.get(target_id, float("-inf"))
 
     def update_from_entry(
         self, entry: TargetEntry, service: ServiceSpec, is_new: bool
     ) -> bool:
-        """Take a target's entry; return whether it turned cold.
+        """Update the cold time from a target's entry; return whether it turned cold.
 
         Parameters
         ----------
         entry : TargetEntry
         service : ServiceSpec
         is_new : bool
-            Whether its process wasn't known before.
+            Whether the entry belongs to a process that was not known before. Such a
+            target counts as cold for its service's usual time if it reports none.
         """
         seconds = entry.cold_seconds
         if seconds is None or seconds > MAX_COLD_SECONDS:
@@ -63,7 +72,7 @@
         return self.mark_cold(entry.id, seconds)
 
     def mark_cold(self, target_id: str, seconds: float) -> bool:
-        """Count a target as cold for some time; return whether it wasn't before."""
+        """Treat a target as cold for a time; return whether it was not cold before."""
         if seconds <= 0.0:
             return False
         was_cold = self.is_cold(target_id)
@@ -74,7 +83,7 @@
         return not was_cold
 
     def forget(self, target_id: str) -> None:
-        """Drop what is known of a target that has left."""
+        """Remove the state of a target that has left."""
         self._cold_until.pop(target_id, None)
         self._warned_ids.discard(target_id)
         self._pace.forget(target_id)
@@ -86,9 +95,10 @@
         standing: KeeperStanding,
         heard_fraction: float,
     ) -> dict[str, float] | None:
-        """Return what a keeper may send to each target in a second.
+        """Return how many requests per second a keeper may send to each target.
 
-        None where nothing binds. See `ColdTerms.keeper_limit` for the parameters.
+        The result is None if the service sets no limit. See `ColdTerms.keeper_limit`
+        for the parameters.
         """
         terms = self.terms(service)
         if not terms.binds:
@@ -103,13 +113,14 @@
     ) -> tuple[list[TargetEntry], float]:
         """Return the targets to which this host may send without a keeper.
 
-        Cold ones come in question where no other is left.
+        Without an answer of the keeper, each host keeps to its own share of the limit.
+        Cold targets are returned only if no other target is within its limit.
 
         Returns
         -------
         targets : list of TargetEntry
         wait_seconds : float
-            Until there is one, where there is none.
+            Time until a target is within its limit, if the list is empty.
         """
         terms = self.terms(service)
         if not terms.binds:
@@ -121,7 +132,7 @@
         return warm or found, paced.wait_seconds
 
     def record_unkept_request(self, target_id: str) -> None:
-        """Count a request that is sent without a keeper."""
+        """Count a request that this host sends without a keeper's placement."""
         self._pace.note(target_id, _now())
 
     def _warn_invalid_cold_seconds(self, entry):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_connection_pool.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_connection_pool.py
@@ -1,22 +1,27 @@
-"""Connections that are kept for the next request."""
+"""Keeps idle connections open so that later requests can reuse them.
+
+A connection is kept for the idle timeout that the other end announces, less a margin,
+and for a default time if it announces none.
+"""
 
 import asyncio
 
 from swifttide_daemon.gateway.targets._http_client import ClientConnection
 
 DEFAULT_IDLE_SECONDS = 4.0
-"""How long a connection is kept whose other end names no timeout of its own."""
+"""Time for which an idle connection is kept if the other end announces no timeout."""
 
 IDLE_MARGIN_SECONDS = 1.0
-"""A connection isn't used in the last second of the other end's timeout: a request
-that crosses the close may have run or not, and nobody can tell."""
+"""Part of the other end's idle timeout in which a connection is no longer used. If the
+other end closes the connection while a request is on its way, this host cannot tell
+whether the request has run."""
 
 MAX_IDLE_CONNECTIONS = 32
-"""Idle connections kept to one address."""
+"""Maximum number of idle connections per address."""
 
 
 class ConnectionPool:
-    """Idle connections by address."""
+    """Pool of idle connections by IP address and port."""
 
     def __init__(self):
         self._idle: dict[tuple[str, int], list[ClientConnection]] = {}
@@ -24,14 +29,14 @@
     async def take(
         self, ip: str, port: int, fresh: bool = False
     ) -> tuple[ClientConnection, bool]:
-        """Return a connection, and whether it had been used before.
+        """Return a connection and whether it is a reused one.
 
         Parameters
         ----------
         ip : str
         port : int
         fresh : bool
-            Whether to open a new one in any case.
+            Whether to open a new connection even if an idle one is available.
         """
         now = asyncio.get_running_loop().time()
         kept = self._idle.get((ip, port), [])
@@ -45,7 +50,17 @@
     def give_back(
         self, ip: str, port: int, conn: ClientConnection, idle_seconds: float | None
     ) -> None:
-        """Keep a connection whose answer has been read, if it can be kept."""
+        """Return a connection to the pool, or close it if it cannot be reused.
+
+        Parameters
+        ----------
+        ip : str
+        port : int
+        conn : ClientConnection
+            Its last answer has been read to the end.
+        idle_seconds : float or None
+            Idle timeout that the other end announced, None if it announced none.
+        """
         conn.finish()
         keep = DEFAULT_IDLE_SECONDS
         if idle_seconds is not None:
@@ -58,7 +73,7 @@
         kept.append(conn)
 
     def has_idle(self, ip: str, port: int) -> bool:
-        """Whether a connection to an address could be used again."""
+        """Return whether an idle connection to an address can be reused."""
         now = asyncio.get_running_loop().time()
         kept = self._idle.get((ip, port), ())
         return any(conn.reusable and now < conn.idle_until for conn in kept)
@@ -69,7 +84,7 @@
             conn.close()
 
     def close_expired(self) -> None:
-        """Close connections that have been idle for too long."""
+        """Close connections whose idle time has expired."""
         now = asyncio.get_running_loop().time()
         for address, kept in list(self._idle.items()):
             alive = [c for c in kept if c.reusable and now < c.idle_until]
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_http_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_http_client.py
@@ -1,4 +1,7 @@
-"""One outgoing HTTP/1.1 connection, one request at a time."""
+"""Implements an outgoing HTTP/1.1 connection that carries one request at a time.
+
+It is used for requests to targets, to the store and to other hosts.
+"""
 
 import asyncio
 import socket
@@ -14,8 +17,8 @@
 READ_BYTES = 65_536
 
 MAX_CHUNK_PAUSE_SECONDS = 0.5
-"""Longest pause between pieces of an answer that has begun: 64 KB take 35 ms on a link
-of 15 Mbit/s, and some other answers come in between."""
+"""Longest time between two chunks of an answer that has begun. 64 KB take 35 ms on a
+link of 15 Mbit/s, and chunks of other answers share the link."""
 
 
 class ClientConnection:
@@ -38,7 +41,7 @@
     async def open(
         cls, ip: str, port: int, seconds: float = CONNECT_TIMEOUT_SECONDS
     ) -> "ClientConnection":
-        """Connect; raises `OSError`, `TimeoutError` among them."""
+        """Open a connection; raises `OSError`, including `TimeoutError`."""
         async with asyncio.timeout(seconds):
             reader, writer = await asyncio.open_connection(ip, port)
         sock = writer.get_extra_info("socket")
@@ -48,10 +51,10 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may be sent.
+        """Whether another request may be sent on this connection.
 
-        A connection with unread bytes isn't: they may be a second answer to an
-        earlier request, and would be taken for the answer to the next one.
+        A connection with unread bytes must not be reused: they may be a second answer
+        to an earlier request and would be taken for the answer to the next one.
         """
         http = self._http
         quiet = not self.reader.at_eof() and not self.reader._buffer
@@ -70,10 +73,10 @@
         fields: list[tuple[bytes, bytes]],
         body: bytes,
     ) -> None:
-        """Start sending a whole request; raises `OSError`.
+        """Write a whole request to the socket buffer; raises `OSError`.
 
-        It doesn't wait until the other end has read all of it: a target may answer
-        a long request early, and would otherwise be waited for in vain.
+        The method does not wait until the other end has read the request: a target may
+        answer a long request early and stop reading, and the wait would never end.
         """
         self._request = h11.Request(method=method, target=target, headers=fields)
         data = self._http.send(self._request)
@@ -83,14 +86,14 @@
         self.writer.write(data)
 
     async def read_head(self) -> tuple[int, Fields]:
-        """Return status and fields of the answer.
+        """Return the status and the header fields of the answer.
 
         Raises
         ------
         OSError
-            The connection broke.
+            The connection is lost.
         h11.RemoteProtocolError
-            What came is no answer.
+            The received data is not a valid answer.
         """
         while True:
             match await self._next():
@@ -102,7 +105,7 @@
                     raise h11.RemoteProtocolError(f"got {type(other).__name__}")
 
     async def read_data(self) -> bytes | None:
-        """Return the next piece of the answer's body, None at its end."""
+        """Return the next chunk of the answer's body, None at its end."""
         match await self._next():
             case h11.Data() as piece:
                 return bytes(piece.data)
@@ -114,15 +117,17 @@
     async def read_body(
         self, max_bytes: int, limit: asyncio.Timeout | None = None
     ) -> bytes:
-        """Return the answer's whole body; raises when it is over ``most`` bytes.
+        """Return the answer's whole body.
+
+        Raises `h11.RemoteProtocolError` if it is longer than ``max_bytes`` bytes.
 
         Parameters
         ----------
-        most : int
+        max_bytes : int
         limit : asyncio.Timeout or None
-            Put off with each piece that comes. A large answer on a narrow link takes
-            longer than a small one; given up and asked for again, it would never
-            arrive, and the link be busy all the time.
+            Timeout that is extended with each received chunk. A large answer on a slow
+            link takes longer than a small one. If it were abandoned and requested
+            again, it would never arrive and the link would be busy all the time.
         """
         body = bytearray()
         while (piece := await self.read_data()) is not None:
@@ -131,19 +136,21 @@
                 now = asyncio.get_running_loop().time()
                 limit.reschedule(max(limit.when(), now + MAX_CHUNK_PAUSE_SECONDS))
             if len(body) > max_bytes:
-                raise h11.RemoteProtocolError(f"a body of over {max_bytes} bytes")
+                raise h11.RemoteProtocolError(
+                    f"answer body longer than {max_bytes} bytes"
+                )
         return bytes(body)
 
     def skip_answer(self) -> None:
-        """Go on to the next answer on this connection.
+        """Discard the answer that was read and expect another one on this connection.
 
-        The answer that was read belongs to an earlier request; the one to the request
-        at hand is still to come.
+        The answer belongs to an earlier request; the one to the current request is
+        still to come.
         """
         rest = self._http.trailing_data[0]
         self._http = h11.Connection(h11.CLIENT)
         self._http.send(self._request)
-        # Only the state matters here: the request's bytes have been sent before.
+        # This only advances the protocol state; the request's bytes were sent before.
         if self._http.our_state is h11.SEND_BODY:
             length = dict(self._request.headers).get(b"content-length", b"0")
             if int(length):
@@ -153,13 +160,13 @@
             self._http.receive_data(rest)
 
     def finish(self) -> None:
-        """Make ready for the next request, where the answer allows it."""
+        """Prepare for the next request if request and answer are complete."""
         http = self._http
         if http.our_state is h11.DONE and http.their_state is h11.DONE:
             http.start_next_cycle()
 
     def close(self) -> None:
-        """Drop the connection at once, which cancels what runs at the other end."""
+        """Abort the connection, which cancels the request at the other end."""
         self.writer.transport.abort()
 
     async def _next(self):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_order_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_order_keeper.py
@@ -1,13 +1,15 @@
-"""The order of turns over all hosts: asked at its keeper, or kept here.
-
-Load pattern: see `TurnOrder`; each turn asks one host by one datagram.
-
-Without it: each host decides by what the others told of a while ago.
-
-Grounds: an answer takes one to three milliseconds. A keeper that is lost, frozen or
-slow costs a turn one wait of `ANSWER_TIMEOUT_SECONDS`; it is then passed over, and the host
-decides by itself as it would without an order. Two keepers at once only know less of
-each other's turns: no promise rests on the order.
+"""Places turns and admits programs of a service in one order over all hosts.
+
+One host, the keeper, holds the `TurnOrder` of a service: it decides to which target
+each turn goes and whether a new program may begin. This module asks the keeper with one
+datagram for each turn, and answers for the services whose keeper is this host. The load
+for which it is made is described at `TurnOrder`. Without it, each host decides by the
+counts of requests that the other hosts reported some time ago.
+
+An answer takes 1 to 3 ms. A keeper that is lost, frozen or slow delays a turn once by
+`ANSWER_TIMEOUT_SECONDS`; after that it is skipped, and the host decides by itself as it
+would without an order. Two hosts that both act as keeper only know less of each other's
+turns: no guarantee depends on the order.
 """
 
 import asyncio
@@ -40,41 +42,44 @@
 from swifttide_daemon.telemetry import EventLog
 
 ANSWER_TIMEOUT_SECONDS = 0.03
-"""Time for an answer: the way to another zone and back takes two milliseconds, and a
-host that is busy answers after some more."""
+"""Time to wait for a keeper's answer. A round trip to another zone takes 2 ms, and a
+busy host needs some more time."""
 
 QUESTION_NUMBER_BITS = 53
-"""Of a question's number: what JSON numbers hold exactly everywhere."""
+"""Size of a question's number. JSON numbers are exact up to this size everywhere."""
 
 MAX_TURN_SECONDS = 60.0
-"""Longest time for which a turn counts whose end is not heard of."""
+"""Longest time for which a turn is counted if no message reports its end."""
 
 KEEPER_SETTLE_SECONDS = 1.5
-"""What a predecessor placed lies beyond the second in which requests are counted, and
-who had passed a keeper over asks it again."""
+"""Time after which a new keeper uses the full rate limit. By then the turns that its
+predecessor placed are older than the second over which requests are counted, and hosts
+that skipped the keeper ask it again."""
 
 KEEPER_IDLE_SECONDS = 1.0
-"""A keeper that wasn't asked for so long has had a successor meanwhile."""
+"""A keeper that was not asked for this time may have had a successor meanwhile, and
+counts as new."""
 
 MIN_RETRY_SECONDS = 0.01
-"""Shortest wait that is told: some ways to the keeper and back."""
+"""Shortest wait that is sent to a host: a few round trips to the keeper."""
 
 MAX_SUBJECT_CHARS = 64
 MAX_EXCLUDED_TARGETS = 8
 MAX_CONNECTED_TARGETS = 16
-"""Bounds a question to one packet."""
+"""The limits above keep a question within one packet."""
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a turn goes.
+    """Target that the keeper has assigned to a turn.
 
     Parameters
     ----------
     target : TargetEntry
     keeper : str
-        Host that is told when the turn has left.
+        IP address of the host that is notified when the turn has left the target.
     number : int
+        Number of the question that asked for the place.
     """
 
     target: TargetEntry
@@ -84,14 +89,14 @@
 
 @dataclass(slots=True)
 class _KeeperTenure:
-    """Since when a host has kept an order, and when it was last asked."""
+    """When this host became the keeper of an order, and when it was last asked."""
 
     since: float
     asked_at: float
 
 
 class OrderKeeper:
-    """Asks for places, and answers for the services whose order this host keeps.
+    """Asks keepers for places, and answers for the services that this host keeps.
 
     Parameters
     ----------
@@ -100,7 +105,7 @@
     beliefs : Beliefs
     health : TargetHealth
     send : callable
-        Sends a message to an address; it may be lost.
+        Sends a message to an IP address. The message may be lost.
     log : EventLog
     """
 
@@ -131,7 +136,23 @@
         seconds: float | None,
         homes: AllowedRegions = None,
     ) -> Entered | TurnedAway | None:
-        """Ask whether a new program may begin; None if the keeper doesn't answer."""
+        """Ask the keeper whether a new program may begin.
+
+        Parameters
+        ----------
+        service : ServiceSpec
+        program : str
+            Key of the program.
+        seconds : float or None
+            Time until the program should be finished, None if it has no such time.
+        homes : frozenset of str or None
+            Regions to which the program is bound.
+
+        Returns
+        -------
+        Entered or TurnedAway or None
+            None if the keeper does not answer.
+        """
         number = secrets.randbits(QUESTION_NUMBER_BITS)
         seconds = round(seconds or 0.0, 3)
         ask = AskEntry(
@@ -160,7 +181,10 @@
         homes: AllowedRegions = None,
         connected: Iterable[str] = (),
     ) -> Place | PlaceLater | None:
-        """Ask where a turn goes; None if the keeper doesn't answer or knows no target.
+        """Ask the keeper for the target of a turn.
+
+        The result is None if the keeper does not answer or knows no target, or if its
+        target may not be used.
 
         Parameters
         ----------
@@ -168,13 +192,13 @@
         program, subject, last : str
             See `AskPlace`.
         seconds : float
-            Until nobody waits for the turn any more.
+            Time until no caller waits for the turn any more.
         without : frozenset of str
-            Targets that it must not go to.
+            Ids of targets that the turn must not go to.
         homes : frozenset of str or None
             Regions to which the turn is bound.
         connected : iterable of str
-            Targets to which this host has an idle connection.
+            Ids of targets to which this host has an idle connection.
         """
         number = secrets.randbits(QUESTION_NUMBER_BITS)
         ask = AskPlace(
@@ -207,7 +231,16 @@
     def report_turn_left(
         self, place: Place, first_seconds: float | None, is_whole: bool = False
     ) -> None:
-        """Tell that a turn is no longer at its target."""
+        """Report to the keeper that a turn is no longer at its target.
+
+        Parameters
+        ----------
+        place : Place
+        first_seconds : float or None
+            Time from sending the turn to its first event, None if there was none.
+        is_whole : bool
+            Whether the answer was complete.
+        """
         seconds = -1.0 if first_seconds is None else round(first_seconds, 4)
         message = TurnLeft(
             place.target.service,
@@ -223,7 +256,7 @@
             self._send(place.keeper, message)
 
     def handle_message(self, message: OrderMessage, sender: str) -> None:
-        """Take another host's message."""
+        """Process a message of another host."""
         match message:
             case OrderAnswer(boot, number) if boot == self._own.boot:
                 waiting = self._pending_answers.get(number)
@@ -235,13 +268,13 @@
                 self._record_turn_left(message, sender)
 
     def reconcile_counts(self, host: str, counts: dict[str, int]) -> None:
-        """Take the requests under way that a host tells of in its beacon."""
+        """Correct the orders by the counts of requests under way in a host's beacon."""
         now = asyncio.get_running_loop().time()
         for order in self._orders.values():
             order.reconcile(host, counts, now)
 
     def forget_target(self, target_id: str) -> None:
-        """Drop what is known of a target that has left."""
+        """Remove the state of a target that has left."""
         for order in self._orders.values():
             order.forget(target_id)
 
@@ -263,7 +296,11 @@
             del self._pending_answers[ask.number]
 
     def _may_answer(self, sender) -> bool:
-        """Whether a question may be answered; a host that starts knows nothing yet."""
+        """Return whether this host may answer a question of the sender.
+
+        The sender has to be a known host, and this host needs a configuration, which it
+        lacks at its start.
+        """
         is_known = self._fleet.by_ip(sender) is not None
         return is_known and self._beliefs.config is not None
 
@@ -278,8 +315,8 @@
             case AskEntry(program=program, seconds=seconds):
                 ids = [t.id for t in targets]
                 places = sum(service.concurrency_at(t) for t in targets)
-                # A new keeper's small pace is no reason to turn programs away: hosts
-                # have shares of their own meanwhile.
+                # The low rate limit of a new keeper must not turn programs away: until
+                # it is settled, hosts may send within their own shares.
                 limits = self._limits(service, targets, KeeperStanding.settled())
                 match order.enter(program, seconds, ids, places, now, limits):
                     case TurnedAway(retry_seconds):
@@ -304,11 +341,16 @@
         return answer
 
     def _limits(self, service, targets, standing) -> dict[str, float] | None:
-        heard_part = self._fleet.heard_fraction()
-        return self._beliefs.cold.keeper_limits(service, targets, standing, heard_part)
+        heard_fraction = self._fleet.heard_fraction()
+        return self._beliefs.cold.keeper_limits(
+            service, targets, standing, heard_fraction
+        )
 
     def _standing(self, service) -> KeeperStanding:
-        """Return how sure this host is that no other keeps a service's order."""
+        """Return whether this host is a settled, new or stand-in keeper of a service.
+
+        This says how certain it is that no other host keeps the order too.
+        """
         now = elapsed_seconds()
         span = self._tenures.setdefault(service, _KeeperTenure(now, now))
         name = _order_name(service)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_order_messages.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_order_messages.py
@@ -1,24 +1,29 @@
-"""Datagrams about the order of turns in front of targets."""
+"""Datagrams between hosts and the keeper of a service's order of turns.
+
+A host asks the keeper whether a program may begin and to which target a turn goes, and
+reports when the turn has left its target.
+"""
 
 import msgspec
 
 
 class AskEntry(msgspec.Struct, array_like=True, tag="ask_entry"):
-    """Ask whether a new program may begin.
+    """Asks whether a new program may begin.
 
     Parameters
     ----------
     service : str
     boot : str
-        Process of the host that asks.
+        Identifies the process of the host that asks.
     number : int
-        Of the question there; drawn, so that no answer to it can be forged.
+        Number of the question at that host. It is random, so that no answer to it can
+        be forged.
     program : str
         Key of the program.
     seconds : float
-        Until the program should be finished; 0 if it doesn't say.
+        Time until the program should be finished; 0 if it states none.
     regions : list of str or None
-        To which the program is bound.
+        Regions to which the program is bound.
     """
 
     service: str
@@ -30,29 +35,30 @@
 
 
 class AskPlace(msgspec.Struct, array_like=True, tag="ask_place"):
-    """Ask which target a turn goes to.
+    """Asks to which target a turn goes.
 
     Parameters
     ----------
     service : str
     boot : str
     number : int
-        Likewise.
+        As in `AskEntry`.
     program : str
+        Key of the program.
     zone : str
-        Of the host that asks.
+        Zone of the host that asks.
     subject : str
-        What the prompt begins with.
+        Identifies the beginning of the prompt.
     last : str
-        Target of the turn before; empty where it isn't known.
+        Id of the target of the previous turn; empty if it is not known.
     seconds : float
-        Until nobody waits for the turn any more.
+        Time until no caller waits for the turn any more.
     without : list of str
-        Targets that it must not go to.
+        Ids of targets that the turn must not go to.
     regions : list of str or None
-        To which the turn is bound.
+        Regions to which the turn is bound.
     connected : list of str
-        Targets to which the host has an idle connection.
+        Ids of targets to which the host has an idle connection.
     """
 
     service: str
@@ -69,18 +75,19 @@
 
 
 class OrderAnswer(msgspec.Struct, array_like=True, tag="order"):
-    """What became of a question.
+    """The keeper's answer to a question.
 
     Parameters
     ----------
     boot : str
-        Of the host that asked.
+        Identifies the process of the host that asked.
     number : int
+        Number of the question.
     target : str
-        Where the turn goes; empty if no target is known.
+        Id of the target of the turn; empty if no target is known.
     retry_seconds : float
-        When a program that was turned away may come back, or a turn ask again; 0 if it
-        was let in.
+        Time after which a program that was turned away may come back, or a turn may ask
+        again; 0 if it was admitted.
     """
 
     boot: str
@@ -90,7 +97,7 @@
 
 
 class TurnLeft(msgspec.Struct, array_like=True, tag="turn_left"):
-    """A turn is no longer at its target.
+    """Reports that a turn is no longer at its target.
 
     Parameters
     ----------
@@ -99,9 +106,9 @@
     number : int
     target : str
     first_seconds : float
-        From its sending to its first event; negative if there was none.
+        Time from sending the turn to its first event; negative if there was none.
     is_whole : bool
-        Whether its answer came to its end.
+        Whether the answer was complete.
     """
 
     service: str
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_silence_guard.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_silence_guard.py
@@ -1,4 +1,9 @@
-"""Noticing that the other end of a connection has fallen silent."""
+"""Detects that a target no longer sends on a connection because it is unreachable.
+
+A target that is partitioned or has lost power sends no reset. After a time without data
+on the connection, a new connection to the target is tried; if that fails, the old one
+is closed.
+"""
 
 import asyncio
 
@@ -7,15 +12,16 @@
 from swifttide_daemon.gateway.targets._target_prober import TargetProber
 
 SILENCE_SECONDS = 0.4
-"""Silence after which a target is asked whether it can still be reached: events come
-every thirty milliseconds, and a first one rarely takes longer."""
+"""Time without data after which the target is probed. Events arrive every 30 ms, and a
+first event rarely takes longer than this time."""
 
 
 class SilenceGuard:
-    """Closes a connection whose target is out of reach.
+    """Closes a connection whose target is unreachable.
 
-    A target that is cut off or has lost power sends no reset. Only its silence shows
-    it, and a slow target is silent too: so a new connection is tried first.
+    A target that is partitioned or has lost power sends no reset, so only its silence
+    shows the fault. A slow target is silent too; therefore the guard first tries to
+    open a new connection. ``fired`` says whether the guard has closed the connection.
 
     Parameters
     ----------
@@ -37,11 +43,11 @@
         self._timer = self._loop.call_later(SILENCE_SECONDS, self._check)
 
     def progress(self) -> None:
-        """Note that something came."""
+        """Restart the timeout because data has arrived."""
         self._last_progress_at = self._loop.time()
 
     def stop(self) -> None:
-        """End the watch."""
+        """Stop watching the connection."""
         self._timer.cancel()
         if self._task is not None:
             self._task.cancel()
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_strike_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_strike_keeper.py
@@ -1,4 +1,10 @@
-"""Requests that crash targets, known at all hosts."""
+"""Records requests that crash targets, and shares these records with all hosts.
+
+A strike is held against a request that was running at a target when the target's
+process ended. From broken connections, refused connections and the targets' entries
+this module concludes which targets have crashed, and from the strikes of all hosts
+whether a request has to be refused.
+"""
 
 import asyncio
 from collections import deque
@@ -15,17 +21,17 @@
 from swifttide_daemon.telemetry import EventLog
 
 STRIKE_BROADCAST_SECONDS = 2.0
-"""How long a strike stands in this host's beacons: ten of them."""
+"""Time for which a strike is sent in this host's beacons; ten beacons fit into it."""
 
 MAX_TRACKED_TARGETS = 2_048
-"""Targets with a broken request that are remembered."""
+"""Maximum number of targets with broken requests that are remembered."""
 
 UNKNOWN_INCARNATION = "gone"
-"""Stands for the unknown next incarnation of a target that refuses connections."""
+"""Stands for the unknown next process of a target that refuses connections."""
 
 
 class StrikeKeeper:
-    """Tells crashes from cuts, and remembers who was running.
+    """Distinguishes crashes from network partitions and records the requests involved.
 
     Parameters
     ----------
@@ -40,23 +46,24 @@
         self._recent_strikes: deque[tuple[float, Strike]] = deque()
 
     def record_broken_request(self, fingerprint: str, target: TargetEntry) -> None:
-        """Note a request whose connection broke."""
-        watch = self._classifiers.setdefault(target.id, CrashClassifier(target.id))
-        watch.record_broken_request(fingerprint, str(target.started_ms))
+        """Record a request whose connection broke while it was at the target."""
+        classifier = self._classifiers.setdefault(target.id, CrashClassifier(target.id))
+        classifier.record_broken_request(fingerprint, str(target.started_ms))
         if len(self._addresses) >= MAX_TRACKED_TARGETS:
             self._forget(next(iter(self._addresses)))
         self._addresses[target.id] = (target.ip, target.port)
 
     def record_refused_connection(self, target_id: str) -> None:
-        """Note that nothing listens at a target's address any longer.
+        """Record that nothing listens at a target's address any longer.
 
-        Only this tells a crash. A target across a cut is out of reach and loses its
-        entry too, and what it was running is innocent.
+        A mere loss of contact is no evidence of a crash: a target beyond a network
+        partition is unreachable and loses its entry too, and the requests that it was
+        running are not at fault.
         """
         self._classify(target_id, UNKNOWN_INCARNATION)
 
     def record_entry(self, target: TargetEntry) -> None:
-        """Note a target's entry: another start at its address means that it ended."""
+        """Record a target's entry; another start at its address means that it ended."""
         self._classify(target.id, str(target.started_ms))
         address = (target.ip, target.port)
         for other, known in list(self._addresses.items()):
@@ -69,22 +76,22 @@
         self._addresses.pop(target_id, None)
 
     def record_success(self, fingerprint: str) -> None:
-        """Note that a target ran a request to its end."""
+        """Record that a target has completed a request."""
         self._tracker.record_success(self._now(), fingerprint)
 
     def status_of(self, fingerprint: str) -> Clear | Suspect | Refused:
-        """Return what is held against a request."""
+        """Return whether a request is clear, suspect or refused."""
         return self._tracker.status_of(self._now(), fingerprint)
 
     def add_remote_strikes(self, strikes: list[tuple[str, str, str]]) -> None:
-        """Take strikes that another host tells."""
+        """Add the strikes that another host has sent."""
         for fingerprint, target, incarnation in strikes:
             self._tracker.record_strike(
                 self._now(), Strike(fingerprint, target, incarnation)
             )
 
     def strikes_to_broadcast(self) -> list[tuple[str, str, str]]:
-        """Return the strikes to tell other hosts."""
+        """Return the recent strikes of this host to send to other hosts."""
         now = self._now()
         while (
             self._recent_strikes
@@ -96,10 +103,10 @@
         ]
 
     def _classify(self, target_id, incarnation):
-        watch = self._classifiers.get(target_id)
-        if watch is None:
+        classifier = self._classifiers.get(target_id)
+        if classifier is None:
             return
-        for strike in watch.classify(incarnation):
+        for strike in classifier.classify(incarnation):
             self._add(strike)
 
     def _add(self, strike):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_answer.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_answer.py
@@ -1,4 +1,4 @@
-"""What became of sending a request to a target."""
+"""Results of sending a request to a target: the answer's head, or a failure."""
 
 from dataclasses import dataclass
 
@@ -13,15 +13,17 @@
     ----------
     status : int
     fields : tuple
-        All header fields as they came.
+        All header fields as received.
     attempt : str
-        Id of the attempt that it answers; empty when the target didn't say.
+        Id of the attempt that it answers; empty if the target did not state it.
     stamp : bytes
-        The target's mark on what it ran; empty without one.
+        The target's stamp, which it adds to the answer of a request that it has run;
+        empty if there is none.
     not_run : bool
-        Whether the target promises that the request has not run.
+        Whether the target states that the request has not run.
     idle_seconds : float or None
-        How long the target keeps the connection when idle; None when it didn't say.
+        Time for which the target keeps the connection when idle; None if it did not
+        state it.
     """
 
     status: int
@@ -39,13 +41,13 @@
     Parameters
     ----------
     reason : str
-        For the log.
+        Text for the log.
     wrong_target : bool
-        Whether another process answers at the target's address.
+        Whether a process other than the target answers at the target's address.
     reached : bool
         Whether the target answered at all.
     refused : bool
-        Whether nothing listens at its address.
+        Whether the connection was refused, so that nothing listens at its address.
     """
 
     reason: str
@@ -56,12 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MayHaveRun:
-    """Nothing is known: the request may have run.
+    """The result is unknown: the request may have run.
 
     Parameters
     ----------
     reason : str
-        For the log.
+        Text for the log.
     broken : bool
         Whether the connection broke while the request was at the target.
     """
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_client.py
@@ -1,4 +1,9 @@
-"""Sending requests to targets and reading their answers."""
+"""Sends requests to targets and reads their answers.
+
+For each failure it decides whether the request has not run, so that it may be sent
+again, or may have run. It accepts a successful answer only with the target's stamp and
+the id of the attempt.
+"""
 
 import h11
 
@@ -16,17 +21,18 @@
 from swifttide_daemon.gateway.targets._target_prober import TargetProber
 
 MAX_STRAY_ANSWERS = 4
-"""Answers to earlier requests that are skipped on one connection."""
+"""Maximum number of answers to earlier requests that are skipped for one request."""
 
 MAX_ANSWER_BYTES = 8_388_608
-"""Largest answer of a plain service that is collected before it is passed on."""
+"""Largest answer of a service without streaming, which is read whole before it is
+forwarded."""
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request has not run."""
+"""HTTP statuses by which a target states that the request has not run."""
 
 
 class TargetExchange:
-    """A request at a target, from its sending to the end of its answer.
+    """An answer of a target, read in chunks until it is complete or cancelled.
 
     Parameters
     ----------
@@ -46,25 +52,25 @@
         self._pool = pool
 
     async def read_piece(self) -> bytes | None:
-        """Return the next piece of the body, None at its end.
+        """Return the next chunk of the body, None at its end.
 
         Raises
         ------
         TargetFailure
-            The answer broke off.
+            The answer ended before it was complete.
         """
         try:
             piece = await self._conn.read_data()
         except (OSError, h11.RemoteProtocolError, EOFError) as exc:
             self.cancel()
-            reason = f"broke off: {describe_exception(exc)}"
+            reason = f"answer incomplete: {describe_exception(exc)}"
             raise TargetFailure(MayHaveRun(reason, broken=True)) from exc
         self._guard.progress()
         if piece is None and self._guard.fired:
-            # An answer without a length ends with its connection, also when that was
-            # closed here.
+            # An answer without a length ends when its connection is closed, even if the
+            # silence guard of this host has closed it.
             self.cancel()
-            raise TargetFailure(MayHaveRun("out of reach", broken=True))
+            raise TargetFailure(MayHaveRun("target unreachable", broken=True))
         if piece is None:
             self.complete = True
             self._guard.stop()
@@ -80,11 +86,11 @@
             body += piece
             if len(body) > MAX_ANSWER_BYTES:
                 self.cancel()
-                raise TargetFailure(MayHaveRun("an answer that is too long"))
+                raise TargetFailure(MayHaveRun("answer too long"))
         return bytes(body)
 
     def cancel(self) -> None:
-        """Close the connection, so that the target stops its work."""
+        """Close the connection, so that the target stops processing the request."""
         self.complete = True
         self._guard.stop()
         self._conn.close()
@@ -106,7 +112,7 @@
         self._prober = prober
 
     def is_connected(self, target: TargetEntry) -> bool:
-        """Whether a connection to a target is kept here."""
+        """Return whether this host has an idle connection to a target."""
         return self._pool.has_idle(target.ip, target.port)
 
     async def connect(self, target: TargetEntry) -> ClientConnection:
@@ -115,14 +121,14 @@
             conn, _ = await self._pool.take(target.ip, target.port)
         except OSError as exc:
             self._prober.note_unreachable(target)
-            reason = f"no connection: {describe_exception(exc)}"
+            reason = f"connection failed: {describe_exception(exc)}"
             refused = isinstance(exc, ConnectionRefusedError)
             outcome = NotRun(reason, reached=False, refused=refused)
             raise TargetFailure(outcome) from exc
         return conn
 
     def release(self, target: TargetEntry, conn: ClientConnection) -> None:
-        """Keep a connection that wasn't used for the next request."""
+        """Return an unused connection to the pool."""
         self._pool.give_back(target.ip, target.port, conn, None)
 
     async def send(
@@ -140,10 +146,10 @@
         Parameters
         ----------
         conn : ClientConnection
-            To the target.
+            A connection to the target.
         target : TargetEntry
         attempt : str
-            Id that the answer must repeat.
+            Id of this attempt, which the answer must repeat.
         method : str
         path : bytes
             Path and query.
@@ -165,7 +171,8 @@
             reason = f"no answer: {describe_exception(exc)}"
             raise TargetFailure(MayHaveRun(reason, broken=True)) from exc
         except BaseException:
-            # The caller has left or time is up: the target is to stop its work.
+            # The caller has left or the time limit has passed: closing the connection
+            # makes the target stop its work.
             guard.stop()
             conn.close()
             raise
@@ -180,8 +187,8 @@
     async def _read_own_head(self, conn, attempt) -> AnswerHead:
         """Return the head of the answer to this attempt.
 
-        A target may send a second answer to an earlier request. It stands where the
-        next answer is expected, and the caller would get another's answer.
+        A target may send a second answer to an earlier request. It arrives where the
+        next answer is expected, and the caller would get the answer to another request.
         """
         for _ in range(MAX_STRAY_ANSWERS):
             head = self._dialect.read_answer(*await conn.read_head())
@@ -189,7 +196,7 @@
                 return head
             await conn.read_body(MAX_ANSWER_BYTES)
             conn.skip_answer()
-        raise h11.RemoteProtocolError("only answers to other requests")
+        raise h11.RemoteProtocolError("received only answers to other requests")
 
     async def _discard(self, exchange):
         try:
@@ -198,19 +205,19 @@
             exchange.cancel()
 
     def _check(self, exchange):
-        """Refuse a success without the target's mark.
+        """Reject a successful answer without the target's stamp or attempt id.
 
-        A fault at the target can spoil the head of an answer. Passed on, the caller
-        would take it for the answer to its request.
+        A fault at the target can corrupt the head of an answer. If it were forwarded,
+        the caller would take it for the answer to its request.
         """
         head = exchange.head
         if head.status < 400 and not (head.stamp and head.attempt):
             exchange.cancel()
-            raise TargetFailure(MayHaveRun("an answer without the target's mark"))
+            raise TargetFailure(MayHaveRun("answer without the target's stamp"))
 
 
 def describe_exception(exc: BaseException) -> str:
-    """Return an exception's type and message, short."""
+    """Return an exception's type and the first 80 characters of its message."""
     text = str(exc)[:80]
     kind = type(exc).__name__
     return f"{kind}: {text}" if text else kind
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_health.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_health.py
@@ -1,4 +1,8 @@
-"""Which targets answer, and how much is under way at each."""
+"""Tracks which targets can be used and how many requests are under way at each.
+
+The state comes from the results of this host's requests, from the prober and from the
+counts that other hosts report in their beacons.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -7,18 +11,20 @@
 from swifttide_daemon.gateway.targets._target_answer import MayHaveRun, NotRun
 
 FAILURE_REST_SECONDS = 1.0
-"""How long a target is left alone after a failure; it is tried again when no other
-is usable."""
+"""Time for which a target is avoided after a failure. It is used earlier if no other
+target is usable."""
 
 COUNT_VALIDITY_BEACONS = 5.0
-"""Another host's counts hold for so many of the pauses between its beacons."""
+"""Validity of another host's counts, in intervals between its beacons."""
 
 EXPIRY_CHECK_SECONDS = 0.2
-"""Between looks whose counts no longer hold."""
+"""Time between two checks for expired counts of other hosts."""
 
 
 @dataclass(slots=True)
 class _State:
+    """Requests of this host at a target, and the target's state after failures."""
+
     outstanding: int = 0
     avoided_until: float = float("-inf")
     has_ended: bool = False
@@ -26,66 +32,68 @@
 
 @dataclass(frozen=True, slots=True)
 class _RemoteCounts:
+    """Requests under way that another host reported, with the end of their validity."""
+
     until: float
     counts: dict[str, int]
 
 
 class TargetHealth:
-    """What this host has seen of each target.
+    """Health and requests under way of each target, as known at this host.
 
     Parameters
     ----------
     is_down : callable
-        Takes a target's id and tells whether it is out of reach.
+        Takes a target's id and returns whether the target is unreachable.
     """
 
     def __init__(self, is_down: Callable[[str], bool]):
         self._is_down = is_down
         self._states: dict[str, _State] = {}
         self._remote_counts: dict[str, _RemoteCounts] = {}
-        # Sums over all hosts: made anew for each question they would grow with hosts
-        # times targets.
+        # Sums over all other hosts are updated with each report: summing them for each
+        # question would cost time in proportion to hosts times targets.
         self._remote_totals: dict[str, int] = {}
         self._expiry_checked_at = float("-inf")
 
     def record_sent(self, target_id: str) -> None:
-        """Count a request that goes to a target."""
+        """Count a request that is sent to a target."""
         self._state(target_id).outstanding += 1
 
     def record_ended(self, target_id: str) -> None:
-        """Count a request that is no longer at a target."""
+        """Stop counting a request that is no longer at a target."""
         self._state(target_id).outstanding -= 1
 
     def record_answer(self, target_id: str) -> None:
-        """Note a whole answer."""
+        """Record a complete answer of a target."""
         state = self._state(target_id)
         state.avoided_until = float("-inf")
         state.has_ended = False
 
     def record_failure(self, target_id: str, outcome: NotRun | MayHaveRun) -> None:
-        """Note a failure."""
+        """Record a failed request, and avoid the target unless it was only full."""
         state = self._state(target_id)
         now = asyncio.get_running_loop().time()
         match outcome:
             case NotRun(reached=True, wrong_target=False):
-                # Full, not broken.
+                # The target is overloaded, not faulty.
                 return
             case NotRun():
                 state.has_ended = True
         state.avoided_until = now + FAILURE_REST_SECONDS
 
     def has_ended(self, target_id: str) -> bool:
-        """Whether a target's process has ended, as far as this host has seen."""
+        """Return whether a target's process has ended, as far as this host knows."""
         return self._state(target_id).has_ended
 
     def usable(self, target_id: str) -> bool:
-        """Whether a target isn't being left alone."""
+        """Return whether a target is reachable and not avoided after a failure."""
         now = asyncio.get_running_loop().time()
-        resting = now < self._state(target_id).avoided_until
-        return not resting and not self._is_down(target_id)
+        is_avoided = now < self._state(target_id).avoided_until
+        return not is_avoided and not self._is_down(target_id)
 
     def outstanding(self, target_id: str) -> float:
-        """Return the requests under way at a target, from all hosts."""
+        """Return the number of requests under way at a target from all hosts."""
         self._drop_expired(asyncio.get_running_loop().time())
         return self._state(target_id).outstanding + self._remote_totals.get(
             target_id, 0
@@ -94,14 +102,15 @@
     def update_remote_counts(
         self, host: str, counts: dict[str, int], pause_seconds: float
     ) -> None:
-        """Take another host's requests under way, by target.
+        """Replace another host's counts of requests under way.
 
         Parameters
         ----------
         host : str
         counts : dict of str to int
+            Requests under way by target id.
         pause_seconds : float
-            Until it tells again.
+            Time until the host's next beacon.
         """
         now = asyncio.get_running_loop().time()
         self._drop(host)
@@ -112,8 +121,8 @@
             self._add(target_id, count)
 
     def _drop(self, host):
-        told = self._remote_counts.pop(host, None)
-        for target_id, count in told.counts.items() if told else ():
+        remote = self._remote_counts.pop(host, None)
+        for target_id, count in remote.counts.items() if remote else ():
             self._add(target_id, -count)
 
     def _add(self, target_id, count):
@@ -125,15 +134,17 @@
         if now - self._expiry_checked_at < EXPIRY_CHECK_SECONDS:
             return
         self._expiry_checked_at = now
-        for host in [h for h, told in self._remote_counts.items() if told.until <= now]:
+        for host in [
+            h for h, remote in self._remote_counts.items() if remote.until <= now
+        ]:
             self._drop(host)
 
     def own_counts(self) -> dict[str, int]:
-        """Return this host's requests under way, by target."""
+        """Return this host's requests under way by target id."""
         return {t: s.outstanding for t, s in self._states.items() if s.outstanding > 0}
 
     def forget(self, target_id: str) -> None:
-        """Drop what is known of a target that has left."""
+        """Remove the state of a target that has left and has no requests under way."""
         state = self._states.get(target_id)
         if state is not None and not state.outstanding:
             del self._states[target_id]
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_prober.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_prober.py
@@ -1,4 +1,4 @@
-"""Finding out whether a target can be reached."""
+"""Determines whether a target is reachable by opening a connection to it."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,32 +9,32 @@
 from swifttide_daemon.telemetry import EventLog
 
 PROBE_ATTEMPTS = 2
-"""Connections tried before a target counts as out of reach: one opening packet may be
-lost, or dropped by a target whose queue of new connections is full."""
+"""Number of connection attempts before a target counts as unreachable. One SYN packet
+may be lost, or dropped by a target whose accept queue is full."""
 
 RESULT_VALID_SECONDS = 0.3
-"""How long a finding holds for others that ask."""
+"""Time for which a probe's result is reused for other requests."""
 
 RETRY_INTERVAL_SECONDS = 0.5
-"""Between tries to reach a target that is out of reach."""
+"""Time between attempts to connect to an unreachable target."""
 
 
 class TargetProber:
-    """Opens connections to targets that have fallen silent.
+    """Probes targets that no longer send data on their connections.
 
-    Load pattern: a zone is cut off, a target loses power or freezes, and whatever was
-    under way there stays silent.
+    It is made for a partitioned zone or a target that freezes or loses power, where all
+    requests under way stay without an answer. Without it, each request waits for its
+    whole time limit, and new requests are sent to the same target.
 
-    Without it: each request waits for its whole time, and new ones are sent after it.
-
-    Grounds: a connection within a zone takes a millisecond. It is kept for the next
-    request, so a probe that succeeds costs nothing more.
+    A connection within a zone takes 1 ms. The connection of a successful probe goes to
+    the pool for the next request, so it causes no further cost.
 
     Parameters
     ----------
     pool : ConnectionPool
     on_refused : callable
-        Takes the id of a target at whose address nothing listens any longer.
+        Called with the id of a target that refuses connections because nothing
+        listens at its address any longer.
     log : EventLog
     """
 
@@ -52,10 +52,13 @@
         self._reconnect_tasks: dict[str, asyncio.Task] = {}
 
     async def reachable(self, target: TargetEntry) -> bool:
-        """Return whether a target accepts a connection."""
+        """Return whether a target accepts a connection.
+
+        Concurrent calls for the same target share one probe.
+        """
         now = asyncio.get_running_loop().time()
-        told_at, found = self._results.get(target.id, (float("-inf"), True))
-        if now - told_at < RESULT_VALID_SECONDS:
+        probed_at, found = self._results.get(target.id, (float("-inf"), True))
+        if now - probed_at < RESULT_VALID_SECONDS:
             return found
         probe = self._probes.get(target.id)
         if probe is None:
@@ -64,18 +67,18 @@
         return await asyncio.shield(probe)
 
     def is_down(self, target_id: str) -> bool:
-        """Return whether a target is out of reach, as far as is known."""
+        """Return whether a target is known to be unreachable."""
         return target_id in self._reconnect_tasks
 
     def note_unreachable(self, target: TargetEntry) -> None:
-        """Leave a target alone until a connection succeeds."""
+        """Mark a target as unreachable until a connection to it succeeds."""
         if target.id not in self._reconnect_tasks:
             self._log.warning("target_unreachable", target=target.id)
             watch = asyncio.create_task(self._watch(target))
             self._reconnect_tasks[target.id] = watch
 
     def forget(self, target_id: str) -> None:
-        """Drop what is known of a target that has left."""
+        """Remove the state of a target that has left."""
         self._results.pop(target_id, None)
         watch = self._reconnect_tasks.pop(target_id, None)
         if watch is not None:
