--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload.py
@@ -39,9 +39,9 @@
 from swifttide_daemon.gateway.tests._overload_engines import (
     SERVICE,
     TURN_SECONDS,
-    CallerChannel,
     Engine,
     EngineClient,
+    FakeChannel,
     FakeFields,
 )
 
@@ -385,13 +385,13 @@
             await asyncio.sleep(wait)
         return False
 
-    async def ask(self, name, left) -> CallerChannel | None:
+    async def ask(self, name, left) -> FakeChannel | None:
         """Send a turn to some host; None if there was no whole answer in time."""
         if not self._hosts:
             return None
         ip = self._random.choice(list(self._hosts))
         host = self._hosts[ip]
-        channel, sent_at = CallerChannel(), self.now
+        channel, sent_at = FakeChannel(), self.now
         turn = TurnTerms(name, "line", 1_000, 10)
         req = CallerRequest(
             f"attempt-{next(self._attempts)}",
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload_engines.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload_engines.py
@@ -109,7 +109,7 @@
         return [(b"retry", str(retry_after).encode())]
 
 
-class CallerChannel:
+class FakeChannel:
     """What one caller gets."""
 
     def __init__(self):
