--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload.py
@@ -1,7 +1,8 @@
-"""Hosts, engines and callers of programs on a paused clock, for loads beyond capacity.
+"""Simulates hosts, engines and callers of programs on a paused clock under overload.
 
-The hosts run the gateway's own decisions: admission, budgets, placement, retries. Only
-what lies at their edges is replaced: connections, and the store by one in memory.
+The hosts run the gateway's own code for admission, budgets, placement and retries. Only
+their outer interfaces are replaced: connections by simulated ones, and the store by one
+in memory.
 """
 
 import asyncio
@@ -47,12 +48,12 @@
 
 N_TURNS = 4
 TURN_PAUSE_SECONDS = 0.08
-"""Between the turns of a program."""
+"""Pause between two turns of a program."""
 
 PROGRAM_TARGET_SECONDS = (
     1.6 * (N_TURNS * TURN_SECONDS + (N_TURNS - 1) * TURN_PAUSE_SECONDS) + 0.2
 )
-"""Time in which a program should end; after twice that its caller gives up."""
+"""Time in which a program should end. Its caller gives up after twice this time."""
 
 BEACON_SECONDS = 0.2
 DATAGRAM_SECONDS = 0.001
@@ -77,12 +78,12 @@
 
 
 def entries_of(engines: dict[str, Engine]) -> dict[str, TargetEntry]:
-    """Return what the engines registered."""
+    """Return the target entries of the engines by id."""
     return {target_id: engine.entry for target_id, engine in engines.items()}
 
 
 class Host:
-    """The gateway's decisions at one host, from its start on."""
+    """One host with the gateway's own decision code, as it is after a start."""
 
     def __init__(
         self, ip: str, engines, all_engines, store, log, entry_type, wires, config
@@ -134,7 +135,7 @@
 
 
 class FakeMembership:
-    """The other hosts as one host hears them."""
+    """Replaces the gateway's fleet of hosts; each host of the simulation is heard."""
 
     def __init__(self, ip: str, wires):
         self.own = Peer(ip, 1, "zone-a", f"boot-{next(BOOT_NUMBERS)}")
@@ -163,17 +164,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A turn that was refused.
+    """A turn that was refused with status 503.
 
     Parameters
     ----------
     attempt, program, reason : str
     at : float
-        When it was sent, in seconds from the start.
+        Time at which it was sent, in seconds from the start.
     seconds : float
-        Until its caller learned it.
+        Time until its caller received the refusal.
     retry_after : float or None
-        When to come back, in seconds.
+        Seconds after which the caller may retry.
     """
 
     attempt: str
@@ -186,21 +187,21 @@
 
 @dataclass
 class Outcomes:
-    """Programs by the second at which they began."""
+    """Start times of the programs, and the turns that were refused."""
 
     started: list[float] = field(default_factory=list)
     finished_in_time: list[float] = field(default_factory=list)
     first_answered_at: dict[str, float] = field(default_factory=dict)
-    """When the first turn of each program had been answered."""
+    """Time at which the first turn of each program was answered."""
     refusals: list[Refused] = field(default_factory=list)
 
     def count(self, times: list[float], start: float, end: float) -> int:
-        """Return how many of the times lie within the span."""
+        """Return how many of the times lie from ``start`` to before ``end``."""
         return sum(start <= t < end for t in times)
 
 
 class Fleet:
-    """Hosts that tell each other of requests under way, and their callers."""
+    """Hosts that report their requests under way to each other, and their callers."""
 
     def __init__(
         self,
@@ -217,28 +218,29 @@
         self._store, self._log, self._entry_type = store, log, entry_type
         self._config = config
         self._random = random.Random(seed)
-        # The gateway draws its times to come back from the shared generator.
+        # The gateway draws its retry times from the global random generator.
         random.seed(seed)
         self._all_engines = dict(self.engines)
         self.ips = [f"10.0.0.{i}" for i in range(n_hosts)]
         self._hosts: dict[str, Host] = {}
-        # In the order of requests, so that each run of a seed is the same; by host.
+        # IP address of the host by task. The order is that of the requests, so that
+        # all runs with the same seed are equal.
         self._handling: dict[asyncio.Task, str] = {}
         self._attempts = itertools.count()
         self.lost_fraction = 0.0
-        """Part of the beacons and other datagrams that don't arrive."""
+        """Fraction of the beacons and other datagrams that are lost."""
         self.duplicated_fraction = 0.0
-        """Part of the other datagrams that come once more, late."""
+        """Fraction of the datagrams other than beacons that arrive twice."""
         self._began_at = asyncio.get_running_loop().time()
         self.start_all()
 
     def start_all(self) -> None:
-        """Start all hosts, with nothing in memory."""
+        """Start all hosts without any earlier state in memory."""
         for ip in self.ips:
             self.start(ip)
 
     def start(self, ip: str) -> None:
-        """Start a host, with nothing in memory."""
+        """Start a host without any earlier state in memory."""
         self._hosts[ip] = Host(
             ip,
             self.engines,
@@ -251,28 +253,28 @@
         )
 
     def kill_all(self) -> None:
-        """Kill all hosts with what they are doing."""
+        """Kill all hosts and cancel their requests."""
         for ip in self.ips:
             self.kill(ip)
 
     def kill(self, ip: str) -> None:
-        """Kill a host with what it is doing."""
+        """Kill a host and cancel its requests."""
         self._hosts.pop(ip, None)
         for task in [t for t, at in self._handling.items() if at == ip]:
             del self._handling[task]
             task.cancel()
 
     def publish_entry(self, entry: TargetEntry) -> None:
-        """Let all hosts have an engine's entry, as it is written anew."""
+        """Deliver an engine's new entry to all hosts."""
         for host in self._hosts.values():
             host.beliefs.put_target(entry)
 
     def remove_engines(self, count: int) -> None:
-        """Take engines out of service; what they run is finished."""
+        """Take engines out of service; their running turns are finished."""
         for target_id in list(self.engines)[:count]:
             for host in self._hosts.values():
                 host.beliefs.remove_target(target_id)
-            # Hosts that start later find it gone from the store.
+            # Hosts that start later do not find the engine in the store.
             self.engines = {k: e for k, e in self.engines.items() if k != target_id}
 
     def return_engines(self) -> None:
@@ -282,14 +284,14 @@
             host.beliefs.replace_targets(entries_of(self.engines))
 
     def start_missing(self) -> None:
-        """Start the hosts that don't run."""
+        """Start the hosts that are not running."""
         for ip in self.ips:
             if ip not in self._hosts:
                 self.start(ip)
 
     @contextlib.contextmanager
     def frozen(self, ip: str):
-        """Keep a host from telling and hearing; callers reach the others."""
+        """Stop a host from sending and receiving; callers use the other hosts."""
         host = self._hosts.pop(ip, None)
         try:
             yield
@@ -298,21 +300,21 @@
                 self._hosts[ip] = host
 
     def started_attempts(self) -> set[str]:
-        """Return the attempts that engines began to run."""
+        """Return the ids of the attempts that engines began to run."""
         return {a for e in self._all_engines.values() for a in e.started_attempts}
 
     def report_engine_load(self, count: int, pause_seconds: float = 60.0) -> None:
-        """Let all hosts believe that each engine has requests of a host elsewhere."""
+        """Report to all hosts that a host elsewhere has requests at each engine."""
         counts = dict.fromkeys(self.engines, count)
         for host in self._hosts.values():
             host.health.update_remote_counts("elsewhere", counts, pause_seconds)
 
     def ips_heard(self) -> tuple[str, ...]:
-        """Return the hosts that run; silence takes a while to be noticed."""
+        """Return all hosts; the loss of a host is detected only after some time."""
         return tuple(self.ips)
 
     def send_datagram(self, sender: str, ip: str, message) -> None:
-        """Deliver a datagram some time later, if it isn't lost; it may come twice."""
+        """Deliver a datagram after a delay, unless it is lost; it may arrive twice."""
         if self._random.random() < self.lost_fraction:
             return
         loop = asyncio.get_running_loop()
@@ -324,7 +326,7 @@
             loop.call_later(late, self._deliver, sender, ip, message)
 
     def deliver_forged(self, message) -> None:
-        """Deliver a message to all hosts as if another one had sent it."""
+        """Deliver a message to all hosts with another host as its sender."""
         for ip in self._hosts:
             self._deliver(self._random.choice(self.ips), ip, message)
 
@@ -352,7 +354,7 @@
     async def load(
         self, per_second: float, until: float, prefix: str = "program"
     ) -> None:
-        """Begin programs at random moments."""
+        """Start programs at random times with a mean rate of ``per_second``."""
         async with asyncio.TaskGroup() as tasks:
             for number in itertools.count():
                 await asyncio.sleep(self._random.expovariate(per_second))
@@ -371,7 +373,7 @@
             self.outcomes.finished_in_time.append(began)
 
     async def _turn(self, name, began) -> bool:
-        """Send a turn, and after a failure up to twice more."""
+        """Send a turn, and retry it up to twice after a failure."""
         for _ in range(3):
             left = began + 2 * PROGRAM_TARGET_SECONDS - self.now
             if left <= 0:
@@ -386,7 +388,11 @@
         return False
 
     async def ask(self, name, left) -> FakeChannel | None:
-        """Send a turn to some host; None if there was no whole answer in time."""
+        """Send a turn to a random host.
+
+        Returns the caller's channel, or None if no host runs or the host was lost or
+        did not finish in time.
+        """
         if not self._hosts:
             return None
         ip = self._random.choice(list(self._hosts))
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload_engines.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload_engines.py
@@ -1,4 +1,4 @@
-"""Engines and callers' channels on a paused clock, in place of connections."""
+"""Simulated engines and callers' channels, which replace connections in tests."""
 
 import asyncio
 
@@ -11,14 +11,14 @@
 
 SERVICE = "models"
 ENGINE_CONCURRENCY = 12
-"""Turns that an engine runs at once; as many wait there, what is beyond is shed."""
+"""Turns that an engine runs at once. As many may wait; further ones are refused."""
 
 TURN_SECONDS = 0.25
 N_EVENTS = 2
 
 
 class Engine:
-    """Runs turns in order of arrival, some at once, and sheds what it can't queue."""
+    """Runs a limited number of turns in order of arrival, with a bounded queue."""
 
     def __init__(self, number: int):
         self.entry = TargetEntry(
@@ -32,12 +32,12 @@
         self.slots = asyncio.Semaphore(ENGINE_CONCURRENCY)
         self.n_waiting = 0
         self.started_attempts: list[str] = []
-        """Attempts that it began to run."""
+        """Ids of the attempts that the engine began to run."""
         self.arrival_times: list[float] = []
-        """When each request reached it."""
+        """Time of arrival of each request."""
 
     async def begin(self, attempt: str) -> None:
-        """Wait for a place; raises `TargetFailure` where too many wait."""
+        """Wait for a free slot; raises `TargetFailure` if the queue is full."""
         self.arrival_times.append(asyncio.get_running_loop().time())
         if self.slots.locked() and self.n_waiting >= ENGINE_CONCURRENCY:
             raise TargetFailure(NotRun("refused with 503"))
@@ -50,7 +50,7 @@
 
 
 class EngineExchange:
-    """One turn at an engine, as the gateway's client shows it."""
+    """One turn at an engine, with the interface of `TargetExchange`."""
 
     def __init__(self, engine: Engine):
         self.target = engine.entry
@@ -60,7 +60,7 @@
         self._left = N_EVENTS
 
     async def read_piece(self) -> bytes | None:
-        """Return the next event; None at the end."""
+        """Return the next event, None at the end."""
         if not self._left:
             self._end()
             return None
@@ -70,7 +70,7 @@
         return f"id: {number}\ndata: x\n\n".encode()
 
     def cancel(self) -> None:
-        """Free the place."""
+        """Free the slot."""
         self._end()
 
     def _end(self):
@@ -80,7 +80,7 @@
 
 
 class EngineClient:
-    """Carries turns to engines."""
+    """Sends turns to engines, with the interface of `TargetClient`."""
 
     def __init__(self, engines: dict[str, Engine]):
         self._engines = engines
@@ -97,7 +97,7 @@
 
 
 class FakeFields:
-    """Header fields that nobody reads."""
+    """Produces the header fields; only that of refusals has a content."""
 
     def target_fields(self, *_):
         return []
@@ -110,7 +110,7 @@
 
 
 class FakeChannel:
-    """What one caller gets."""
+    """Records the answer that one caller gets."""
 
     def __init__(self):
         self.started = False
@@ -123,7 +123,7 @@
         self.started, self.status = True, status
 
     async def write(self, piece):
-        """Nothing to do."""
+        """Discard a chunk of the answer."""
 
     async def finish(self):
         self.is_whole = True
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_cold_targets.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_cold_targets.py
@@ -1,4 +1,4 @@
-"""Cold targets under a burst, while keepers, hosts and messages are lost."""
+"""Tests the request limits of cold targets with lost keepers, hosts and messages."""
 
 import asyncio
 import dataclasses
@@ -40,7 +40,9 @@
 
 
 class ColdEpisodes:
-    """Turns engines cold, and tells the hosts later.
+    """Turns engines cold at random, and publishes their entries to the hosts later.
+
+    ``spans`` lists the engine ids with the start and the end of each cold time.
 
     Parameters
     ----------
@@ -54,7 +56,7 @@
         self.spans: list[tuple[str, float, float]] = []
 
     async def run(self) -> None:
-        """Draw engines that turn cold, hosts and messages that are lost."""
+        """Inject cold engines and losses of hosts and messages at random times."""
         kinds = [self._cold, self._cold, self._host_lost, self._frozen, self._lossy]
         async with asyncio.TaskGroup() as tasks:
             while self._fleet.now < END_SECONDS - 5.0:
@@ -95,7 +97,7 @@
 
 
 def max_count_per_second(times: list[float]) -> int:
-    """Return the most times that lie in any one second."""
+    """Return the largest number of times within any one second."""
     first, most = 0, 0
     for last, time in enumerate(times):
         while times[first] < time - 1.0:
@@ -107,7 +109,7 @@
 class TestColdTargets:
     @pytest.mark.parametrize("seed", SEEDS)
     def test_request_rate_stays_within_the_limit(self, store, log, seed):
-        """Guards against cold targets that crash under what all hosts send at once."""
+        """Guards against cold targets that crash under the load of all hosts."""
 
         async def main():
             fleet = Fleet(N_HOSTS, N_ENGINES, store, log, seed, config=CONFIG)
@@ -132,7 +134,7 @@
         assert max(found) <= MAX_REQUESTS_PER_SECOND, found
 
     def test_low_rate_of_a_new_keeper_turns_no_program_away(self, log):
-        """Guards against programs refused for seconds after each loss of a keeper."""
+        """Guards against programs refused for seconds after a keeper is lost."""
 
         async def main():
             fleet = Fleet(1, 1, None, log, 1, config=CONFIG)
@@ -148,7 +150,7 @@
         assert entered == Entered()
 
     def test_host_without_configuration_answers_no_question(self, log):
-        """Guards against an error at a host that doesn't know its configuration yet."""
+        """Guards against an error at a host that has no configuration yet."""
 
         async def main():
             fleet = Fleet(2, 1, None, log, 1, config=CONFIG)
@@ -167,7 +169,7 @@
         assert run_paused(main()) == []
 
     def test_targets_of_a_restored_zone_count_as_cold(self, log):
-        """Guards against a rush to targets that turned cold in an emptied zone."""
+        """Guards against a burst to targets that turned cold in an emptied zone."""
 
         async def main():
             fleet = Fleet(2, 2, None, log, 1, config=CONFIG)
@@ -191,19 +193,19 @@
         return run_paused(main())
 
     def test_turning_cold_is_reported_once(self, log):
-        """Guards against other hosts that learn of a cold target late."""
+        """Guards against other hosts that are informed late of a cold target."""
         entries = [self.entry(s) for s in (0.0, 3.0, 1.8, 0.6)]
         turned_cold, _ = self.update(log, *entries)
         assert turned_cold == [False, True, False, False]
 
     @pytest.mark.parametrize("seconds", [None, 1e9])
     def test_new_target_with_invalid_time_counts_as_cold(self, log, seconds):
-        """Guards against a target that says nonsense and is sent all there is."""
+        """Guards against unlimited requests to a target with an invalid cold time."""
         turned_cold, _ = self.update(log, self.entry(seconds), is_new=True)
         assert turned_cold == [True]
 
     def test_excessive_cold_time_is_capped(self, log):
-        """Guards against a target that stays cold for ever by one odd entry."""
+        """Guards against a target that stays cold for ever after one invalid entry."""
 
         async def main():
             cold = ColdTargets(1.5, 5.0, log)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_overload.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""What callers get of engines that are asked for more than they can do."""
+"""Tests how many programs finish in time when callers ask for more than capacity."""
 
 import asyncio
 
@@ -12,29 +12,29 @@
 from swifttide_standins.paused_clock import run_paused
 
 N_REMAINING_ENGINES = 2
-"""Engines that stay."""
+"""Engines that stay in service."""
 
 CAPACITY_PROGRAMS_PER_SECOND = (
     N_REMAINING_ENGINES * ENGINE_CONCURRENCY / TURN_SECONDS / N_TURNS
 )
-"""Programs a second that the engines that stay can finish."""
+"""Programs per second that the remaining engines can finish."""
 
 MIN_GOODPUT_FRACTION = 0.85
-"""Of what the engines bear: as much is to end in time under any overload."""
+"""Fraction of the capacity that has to finish in time under any overload."""
 
 ENGINES_LEAVE_AT_SECONDS = 8.0
 HOSTS_KILLED_AT_SECONDS = 12.0
 HOSTS_RESTART_AT_SECONDS = 13.0
 
 SETTLED_AT_SECONDS = HOSTS_RESTART_AT_SECONDS + 4.0
-"""From then on new programs are to be served as before."""
+"""From this time on new programs have to be served as before."""
 
 END_SECONDS = 33.0
-"""Seconds from the start, as all of these."""
+"""End of the load. All times are in seconds from the start."""
 
 
 async def run_overload(store, log, seed, load, loses_hosts) -> Outcomes:
-    """Return what becomes of programs as three of five engines leave.
+    """Return the outcomes of programs when three of five engines leave.
 
     Parameters
     ----------
@@ -42,9 +42,9 @@
     log : EventLog
     seed : int
     load : float
-        Programs that begin, for each that the engines that stay can finish.
+        Rate of new programs as a multiple of the remaining engines' capacity.
     loses_hosts : bool
-        Whether all hosts are lost for a second.
+        Whether all hosts are killed and restarted a second later.
     """
     fleet = Fleet(5, 5, store, log, seed)
     beacons = asyncio.create_task(fleet.exchange_beacons())
@@ -64,19 +64,21 @@
 
 
 class TestLossOfAllHosts:
-    """Three of five engines leave, then all hosts are lost and come back."""
+    """Three of five engines leave, then all hosts are killed and restarted."""
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_programs_end_in_time_after_restart(self, store, log, seed):
-        """All hosts are killed while two engines have to do the work of five. When
-        the hosts are back, everybody who waited asks again at once, and new callers
-        come as before. Each host sent whatever arrived to the engines. Their queues
-        filled, every program took a little of them, and none got through all of its
-        turns in time: callers gave up on work that was half done, and 12 s later
-        still nobody was served, although the engines never stood idle. In the record
-        of such a day an engine had four requests for each of its places, and turns
-        waited 0.95 s for their first event where they wait 0.02 s on a calm one
-        (`target_load=4.0` in the hosts' lines).
+        """Guards against a congestion collapse after a restart of all hosts.
+
+        All hosts are killed while two engines have to do the work of five. After the
+        restart all waiting callers retry at once, and new callers arrive as before. The
+        fault was that each host sent every request to the engines. Their queues filled,
+        every program got some turns, and none finished all of its turns in time.
+        Callers abandoned half-finished work, and 12 s later still no program was
+        served, although the engines were never idle. In a record of this fault, an
+        engine had four requests for each of its slots, and turns waited 0.95 s for
+        their first event instead of 0.02 s at normal load (`target_load=4.0` in the
+        hosts' log lines).
         """
         outcomes = run_paused(run_overload(store, log, seed, 1.25, loses_hosts=True))
         served = outcomes.count(
@@ -88,9 +90,10 @@
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_programs_are_admitted_again_when_engines_suffice(self, store, log, seed):
-        """The engines that stay can do what is asked for. After the return of the
-        hosts all ask at once, and programs are turned away for a moment; a share that
-        stayed low would turn callers away from idle engines.
+        """The load is within the capacity of the remaining engines. After the restart
+        of the hosts all callers retry at once, and programs are turned away for a
+        moment. If the admitted share stayed low after that, callers would be turned
+        away from idle engines.
         """
         outcomes = run_paused(run_overload(store, log, seed, 0.7, loses_hosts=True))
         served = outcomes.count(
@@ -101,13 +104,13 @@
 
 
 class TestOverload:
-    """More programs begin than the engines can finish, and nothing else is wrong."""
+    """More programs begin than the engines can finish; there are no other faults."""
 
     @pytest.mark.parametrize("load", [1.3, 2.0, 4.0])
     def test_programs_end_in_time_at_any_load(self, store, log, load):
-        """Callers ask for up to four times what the engines can do, for as long as
-        they like. Without a bound on programs under way all of them slow down
-        together, and the more is asked for, the fewer end in time.
+        """Callers ask for up to four times the capacity for an unlimited time. Without
+        a limit on the programs under way all of them slow down together, and the
+        number that finishes in time falls as the load grows.
         """
         outcomes = run_paused(run_overload(store, log, 1, load, loses_hosts=False))
         served = outcomes.count(
@@ -118,8 +121,8 @@
         )
 
     def test_refusals_are_immediate(self, store, log):
-        """Callers who wait for a refusal lose the time in which they could ask
-        elsewhere.
+        """Callers that wait for a refusal lose time in which they could try another
+        service.
         """
         outcomes = run_paused(run_overload(store, log, 1, 2.0, loses_hosts=False))
         assert outcomes.refusals
@@ -129,12 +132,12 @@
 
 
 class TestProgramsUnderWay:
-    """Programs that have begun go on while new ones are turned away."""
+    """Programs that have begun continue while new ones are turned away."""
 
     def test_restarted_host_recognises_them_by_stored_rows(self, store, log):
-        """All hosts are lost, and no host remembers any program. Taken for new ones,
-        the programs that were under way would be turned away while the engines are
-        full, with all that was spent on them.
+        """All hosts are restarted, and no host has any program in memory. If the
+        programs under way were taken for new ones, they would be turned away while the
+        engines are full, and the work done for them would be lost.
         """
 
         async def ask_after_loss():
@@ -151,8 +154,8 @@
         assert begun.is_whole
 
     def test_hanging_store_delays_no_refusal(self, store, log):
-        """The store hangs while engines are full: whether a program has begun can't
-        be read, and its caller would wait for the store in vain.
+        """The store hangs while the engines are full. Whether a program has begun
+        cannot be read, and its caller must not wait for the store.
         """
 
         async def ask_while_store_hangs():
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_overload_faults.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_overload_faults.py
@@ -1,4 +1,4 @@
-"""Overload while hosts, engines and messages come and go, drawn at random."""
+"""Tests overload with random faults of hosts, engines and messages."""
 
 import asyncio
 import os
@@ -24,12 +24,13 @@
 N_ENGINES = 3
 
 CAPACITY_PROGRAMS_PER_SECOND = N_ENGINES * ENGINE_CONCURRENCY / TURN_SECONDS / N_TURNS
-"""Programs a second that all engines together can finish."""
+"""Programs per second that all engines together can finish."""
 
 FAULT_PHASE_SECONDS = 12.0
 
 SETTLED_AT_SECONDS = FAULT_PHASE_SECONDS + 8.0
-"""Programs that began in the trouble have ended or been given up by then."""
+"""Time by which the programs that began in the fault phase have ended or been
+abandoned."""
 
 END_SECONDS = SETTLED_AT_SECONDS + 6.0
 
@@ -37,14 +38,14 @@
 
 
 class FaultInjector:
-    """Draws what goes wrong, and sets all right at the end."""
+    """Injects random faults, and ends all of them at the end."""
 
     def __init__(self, fleet: Fleet, seed: int):
         self._fleet = fleet
         self._random = random.Random(seed)
 
     async def run(self) -> None:
-        """Bring trouble about, each kind again and again."""
+        """Inject faults of all kinds at random times during the fault phase."""
         kinds = [self._host_lost, self._all_lost, self._burst, self._engine_leaves]
         kinds += [self._beacons_lost, self._beacon_forged, self._host_frozen]
         kinds += [self._datagrams_doubled, self._order_forged]
@@ -84,7 +85,7 @@
         self._fleet.lost_fraction = 0.0
 
     async def _beacon_forged(self):
-        """Tell of engines that are very full, or of fewer than no requests."""
+        """Report overloaded engines or negative counts of requests to all hosts."""
         self._fleet.report_engine_load(self._random.choice([-1_000, 5, 10**9]), 0.2)
 
     async def _datagrams_doubled(self):
@@ -93,7 +94,7 @@
         self._fleet.duplicated_fraction = 0.0
 
     async def _order_forged(self):
-        """Take places for turns that nobody sends, answer and end others' turns."""
+        """Forge questions for turns that no host sends, answers, and ends of turns."""
         number, boot = self._random.getrandbits(53), "boot-1"
         for message in (
             AskPlace(SERVICE, boot, number, "p", "zone-a", seconds=1e9),
@@ -104,22 +105,22 @@
             self._fleet.deliver_forged(message)
 
     async def _host_frozen(self):
-        """Stop a host for a while; its counts elsewhere stand still."""
+        """Freeze a host for a while; its counts at other hosts do not change."""
         with self._fleet.frozen(self._random.choice(self._fleet.ips)):
             await asyncio.sleep(self._random.uniform(0.5, 3.0))
 
 
 class TestOverloadWithFaults:
-    """What must hold whatever comes together."""
+    """Guarantees that must hold under any combination of faults."""
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_guarantees_hold_and_service_recovers(self, store, log, seed):
-        """Hosts die and come back, engines leave, bursts come, messages between hosts
-        are lost or forged, in series and at once. A caller who was told that its turn
-        hasn't run must be able to send it again: had it run, it would run twice. A
-        program that has begun must not be turned away as a new one. And when all is
-        well again, everybody is served: hosts that went on believing in full engines
-        would turn callers away for nothing.
+        """Hosts are killed and restarted, engines leave, bursts arrive, and messages
+        between hosts are lost or forged, one after another and at once. A caller that
+        was told that its turn has not run must be able to send it again: if it had run,
+        it would run twice. A program that has begun must not be turned away as a new
+        one. After the faults have ended all programs are served: hosts that still took
+        the engines for full would turn callers away without a reason.
         """
 
         async def run_faults():
@@ -146,6 +147,6 @@
 
 
 def was_wrongly_refused(refused, outcomes) -> bool:
-    """Whether a program that had begun was turned away as a new one."""
+    """Return whether a program that had begun was turned away as a new one."""
     served_at = outcomes.first_answered_at.get(refused.program, END_SECONDS)
     return refused.reason == "targets_full" and served_at < refused.at
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_prompt_locations.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_prompt_locations.py
@@ -1,4 +1,4 @@
-"""Where lines were served last."""
+"""Tests the record of the targets that last served each branch of a program."""
 
 from swifttide_daemon.gateway.callers._caller_request import CallerRequest, TurnTerms
 from swifttide_daemon.gateway.turns._prompt_locations import (
@@ -7,8 +7,8 @@
 )
 
 
-def request(line, prompt_tokens=500):
-    """Return a turn of a line; a call of a tool has no prompt."""
+def request(branch, prompt_tokens=500):
+    """Return a turn of a branch; a tool call has no prompt."""
     return CallerRequest(
         id="r",
         method="POST",
@@ -19,7 +19,7 @@
         api_key="",
         received_at=0.0,
         prompt_tokens=prompt_tokens,
-        turn=TurnTerms(program="p", branch=line),
+        turn=TurnTerms(program="p", branch=branch),
     )
 
 
@@ -33,7 +33,7 @@
         assert locations.last_target_id("c", request("line")) is None
 
     def test_memory_is_bounded(self):
-        """Callers name their lines themselves, as many as they like."""
+        """Callers choose the names of branches, so their number is not limited."""
         locations = PromptLocations()
         for i in range(MAX_BRANCHES + 10):
             locations.record("a", request(f"line{i}"), "t1")
@@ -41,7 +41,7 @@
         assert locations.last_target_id("a", request(f"line{MAX_BRANCHES}")) == "t1"
 
     def test_requests_without_prompt_or_branch_are_not_recorded(self):
-        """Calls of tools bear the line of their turn, and go to other targets."""
+        """A tool call has the branch of its turn but goes to another target."""
         locations = PromptLocations()
         locations.record("a", request("line"), "t1")
         locations.record("a", request("line", prompt_tokens=0), "tool")
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_strike_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_strike_keeper.py
@@ -1,4 +1,4 @@
-"""Requests that crash targets, and those that only ran beside a cut."""
+"""Tests that crashes count against requests and network partitions do not."""
 
 import asyncio
 
@@ -34,10 +34,10 @@
         assert len(sent_strikes) == 2
 
     def test_network_partition_adds_no_strikes(self, log):
-        """A zone is cut off; connections break and targets' entries lapse.
+        """A zone is partitioned; connections break and the targets' entries expire.
 
-        Their requests were innocent. Refused, they would fail for ten minutes at all
-        hosts after the cut has healed.
+        The requests at these targets are not at fault. If they were refused, they would
+        fail for ten minutes at all hosts after the partition has ended.
         """
 
         def scenario(keeper):
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_target_health.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_target_health.py
@@ -1,4 +1,4 @@
-"""Requests under way at targets, as hosts tell each other."""
+"""Tests the counts of requests under way that hosts report to each other."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_totals_follow_reported_counts(seed):
-    """Guards against sums that drift, by which a target would look full for ever."""
+    """Guards against sums that drift, so that a target seems full for ever."""
 
     async def play():
         rng = random.Random(seed)
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_target_prober.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_target_prober.py
@@ -1,4 +1,4 @@
-"""Reaching targets that have fallen silent."""
+"""Tests the probes of targets that no longer send data."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class FakeNetwork:
-    """Says how each attempt to connect ends."""
+    """Replaces connecting by a list of errors, one for each attempt."""
 
     def __init__(self, monkeypatch, errors):
         self.errors = list(errors)
@@ -40,16 +40,16 @@
         return run_paused(main()), refused
 
     def test_many_requests_share_one_probe(self, log, monkeypatch):
-        """All requests at a target fall silent together, in a cut.
+        """In a network partition all requests at a target fall silent together.
 
-        Each probing by itself, a host would open connections by the dozen.
+        If each of them probed the target, a host would open dozens of connections.
         """
         (found, is_down, after, n_tries), refused = self.probe(
             log, [TimeoutError()], monkeypatch
         )
         assert found == [False] * 9
         assert (is_down, after) == (True, False)
-        # The probe's own tries, and the first of those that go on in the background.
+        # The attempts of the probe, and the first one of the background task.
         assert n_tries <= PROBE_ATTEMPTS + 1
         assert refused == []
 
