--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_prober.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_prober.py
@@ -74,15 +74,15 @@
         """Mark a target as unreachable until a connection to it succeeds."""
         if target.id not in self._reconnect_tasks:
             self._log.warning("target_unreachable", target=target.id)
-            watch = asyncio.create_task(self._watch(target))
-            self._reconnect_tasks[target.id] = watch
+            task = asyncio.create_task(self._watch(target))
+            self._reconnect_tasks[target.id] = task
 
     def forget(self, target_id: str) -> None:
         """Remove the state of a target that has left."""
         self._results.pop(target_id, None)
-        watch = self._reconnect_tasks.pop(target_id, None)
-        if watch is not None:
-            watch.cancel()
+        task = self._reconnect_tasks.pop(target_id, None)
+        if task is not None:
+            task.cancel()
 
     async def _watch(self, target):
         while not await self._connects(target):
