--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload_engines.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/_overload_engines.py
@@ -1,4 +1,4 @@
-"""Engines and callers' channels on a paused clock, in place of connections."""
+"""Simulated engines and callers' channels, which replace connections in tests."""
 
 import asyncio
 
@@ -10,42 +10,47 @@
 )
 
 SERVICE = "models"
-PLACES = 12
-"""Turns that an engine runs at once; as many wait there, what is beyond is shed."""
+ENGINE_CONCURRENCY = 12
+"""Turns that an engine runs at once. As many may wait; further ones are refused."""
 
 TURN_SECONDS = 0.25
 N_EVENTS = 2
 
 
 class Engine:
-    """Runs turns in order of arrival, some at once, and sheds what it can't queue."""
+    """Runs a limited number of turns in order of arrival, with a bounded queue."""
 
     def __init__(self, number: int):
         self.entry = TargetEntry(
-            f"engine-{number}", SERVICE, f"10.9.0.{number}", 1, "zone-a", PLACES
+            f"engine-{number}",
+            SERVICE,
+            f"10.9.0.{number}",
+            1,
+            "zone-a",
+            ENGINE_CONCURRENCY,
         )
-        self.free = asyncio.Semaphore(PLACES)
+        self.slots = asyncio.Semaphore(ENGINE_CONCURRENCY)
         self.n_waiting = 0
-        self.ran: list[str] = []
-        """Attempts that it began to run."""
-        self.reached_at: list[float] = []
-        """When each request reached it."""
+        self.started_attempts: list[str] = []
+        """Ids of the attempts that the engine began to run."""
+        self.arrival_times: list[float] = []
+        """Time of arrival of each request."""
 
     async def begin(self, attempt: str) -> None:
-        """Wait for a place; raises `TargetFailure` where too many wait."""
-        self.reached_at.append(asyncio.get_running_loop().time())
-        if self.free.locked() and self.n_waiting >= PLACES:
+        """Wait for a free slot; raises `TargetFailure` if the queue is full."""
+        self.arrival_times.append(asyncio.get_running_loop().time())
+        if self.slots.locked() and self.n_waiting >= ENGINE_CONCURRENCY:
             raise TargetFailure(NotRun("refused with 503"))
         self.n_waiting += 1
         try:
-            await self.free.acquire()
+            await self.slots.acquire()
         finally:
             self.n_waiting -= 1
-        self.ran.append(attempt)
+        self.started_attempts.append(attempt)
 
 
-class Exchange:
-    """One turn at an engine, as the gateway's client shows it."""
+class EngineExchange:
+    """One turn at an engine, with the interface of `TargetExchange`."""
 
     def __init__(self, engine: Engine):
         self.target = engine.entry
@@ -55,7 +60,7 @@
         self._left = N_EVENTS
 
     async def read_piece(self) -> bytes | None:
-        """Return the next event; None at the end."""
+        """Return the next event, None at the end."""
         if not self._left:
             self._end()
             return None
@@ -65,17 +70,17 @@
         return f"id: {number}\ndata: x\n\n".encode()
 
     def cancel(self) -> None:
-        """Free the place."""
+        """Free the slot."""
         self._end()
 
     def _end(self):
         if not self.complete:
             self.complete = True
-            self._engine.free.release()
+            self._engine.slots.release()
 
 
-class Client:
-    """Carries turns to engines."""
+class EngineClient:
+    """Sends turns to engines, with the interface of `TargetClient`."""
 
     def __init__(self, engines: dict[str, Engine]):
         self._engines = engines
@@ -86,13 +91,13 @@
     async def connect(self, target: TargetEntry) -> Engine:
         return self._engines[target.id]
 
-    async def send(self, engine, target, attempt, *_) -> Exchange:
+    async def send(self, engine, target, attempt, *_) -> EngineExchange:
         await engine.begin(attempt)
-        return Exchange(engine)
+        return EngineExchange(engine)
 
 
-class Wire:
-    """Header fields that nobody reads."""
+class FakeFields:
+    """Produces the header fields; only that of refusals has a content."""
 
     def target_fields(self, *_):
         return []
@@ -104,8 +109,8 @@
         return [(b"retry", str(retry_after).encode())]
 
 
-class Channel:
-    """What one caller gets."""
+class FakeChannel:
+    """Records the answer that one caller gets."""
 
     def __init__(self):
         self.started = False
@@ -118,7 +123,7 @@
         self.started, self.status = True, status
 
     async def write(self, piece):
-        """Nothing to do."""
+        """Discard a chunk of the answer."""
 
     async def finish(self):
         self.is_whole = True
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_strike_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_strike_keeper.py
@@ -1,4 +1,4 @@
-"""Requests that crash targets, and those that only ran beside a cut."""
+"""Tests that crashes count against requests and network partitions do not."""
 
 import asyncio
 
@@ -13,57 +13,59 @@
 
 
 class TestStrikes:
-    def standing(self, log, scenario):
+    def status(self, log, scenario):
         async def main():
             keeper = StrikeKeeper(log)
             scenario(keeper)
             await asyncio.sleep(0.1)
-            return keeper.standing("f1"), keeper.news()
+            return keeper.status_of("f1"), keeper.strikes_to_broadcast()
 
         return run_paused(main())
 
-    def test_two_dead_targets_refuse_a_request(self, log):
+    def test_request_is_refused_after_two_crashed_targets(self, log):
         def scenario(keeper):
-            keeper.broke("f1", target("t1"))
-            keeper.refused("t1")
-            keeper.broke("f1", target("t2", port=2))
-            keeper.refused("t2")
+            keeper.record_broken_request("f1", target("t1"))
+            keeper.record_refused_connection("t1")
+            keeper.record_broken_request("f1", target("t2", port=2))
+            keeper.record_refused_connection("t2")
 
-        found, news = self.standing(log, scenario)
+        found, sent_strikes = self.status(log, scenario)
         assert isinstance(found, Refused)
-        assert len(news) == 2
+        assert len(sent_strikes) == 2
 
-    def test_cut_makes_nobody_guilty(self, log):
-        """A zone is cut off; connections break and targets' entries lapse.
+    def test_network_partition_adds_no_strikes(self, log):
+        """A zone is partitioned; connections break and the targets' entries expire.
 
-        Their requests were innocent. Refused, they would fail for ten minutes at all
-        hosts after the cut has healed.
+        The requests at these targets are not at fault. If they were refused, they would
+        fail for ten minutes at all hosts after the partition has ended.
         """
 
         def scenario(keeper):
             for i in range(4):
-                keeper.broke("f1", target(f"t{i}", port=i + 1))
+                keeper.record_broken_request("f1", target(f"t{i}", port=i + 1))
             for i in range(4):
-                keeper.seen(target(f"t{i}", port=i + 1))
+                keeper.record_entry(target(f"t{i}", port=i + 1))
 
-        found, news = self.standing(log, scenario)
+        found, sent_strikes = self.status(log, scenario)
         assert found == Clear()
-        assert news == []
+        assert sent_strikes == []
 
-    def test_another_start_at_the_address_tells_a_crash(self, log):
+    def test_restart_at_the_address_shows_a_crash(self, log):
         def scenario(keeper):
-            keeper.broke("f1", target("t1"))
-            keeper.seen(target("t1b"))
-            keeper.broke("f1", target("t2", port=2, started_ms=1))
-            keeper.seen(target("t2", port=2, started_ms=9))
+            keeper.record_broken_request("f1", target("t1"))
+            keeper.record_entry(target("t1b"))
+            keeper.record_broken_request("f1", target("t2", port=2, started_ms=1))
+            keeper.record_entry(target("t2", port=2, started_ms=9))
 
-        found, _ = self.standing(log, scenario)
+        found, _ = self.status(log, scenario)
         assert isinstance(found, Refused)
 
     def test_strikes_of_other_hosts_count(self, log):
         def scenario(keeper):
-            keeper.take([("f1", "t1", "1"), ("f1", "t1", "1"), ("f1", "t2", "1")])
+            keeper.add_remote_strikes(
+                [("f1", "t1", "1"), ("f1", "t1", "1"), ("f1", "t2", "1")]
+            )
 
-        found, news = self.standing(log, scenario)
+        found, sent_strikes = self.status(log, scenario)
         assert isinstance(found, Refused)
-        assert news == []
+        assert sent_strikes == []
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_target_prober.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/test_target_prober.py
@@ -1,34 +1,34 @@
-"""Reaching targets that have fallen silent."""
+"""Tests the probes of targets that no longer send data."""
 
 import asyncio
 
 from swifttide_core.forwarding import TargetEntry
 from swifttide_daemon.gateway import ConnectionPool
 from swifttide_daemon.gateway.targets._http_client import ClientConnection
-from swifttide_daemon.gateway.targets._target_prober import TRIES, TargetProber
+from swifttide_daemon.gateway.targets._target_prober import PROBE_ATTEMPTS, TargetProber
 from swifttide_standins.paused_clock import run_paused
 
 TARGET = TargetEntry("t1", "s", "10.0.0.1", 1, "zone-a", 12)
 
 
-class Network:
-    """Says how each attempt to connect ends."""
+class FakeNetwork:
+    """Replaces connecting by a list of errors, one for each attempt."""
 
-    def __init__(self, monkeypatch, endings):
-        self.endings = list(endings)
+    def __init__(self, monkeypatch, errors):
+        self.errors = list(errors)
         self.n_tries = 0
         monkeypatch.setattr(ClientConnection, "open", self.open)
 
     async def open(self, ip, port):
         self.n_tries += 1
         await asyncio.sleep(0.25)
-        raise self.endings.pop(0) if len(self.endings) > 1 else self.endings[0]
+        raise self.errors.pop(0) if len(self.errors) > 1 else self.errors[0]
 
 
 class TestTargetProber:
-    def probe(self, log, endings, monkeypatch):
+    def probe(self, log, errors, monkeypatch):
         refused = []
-        network = Network(monkeypatch, endings)
+        network = FakeNetwork(monkeypatch, errors)
 
         async def main():
             prober = TargetProber(ConnectionPool(), refused.append, log)
@@ -40,19 +40,19 @@
         return run_paused(main()), refused
 
     def test_many_requests_share_one_probe(self, log, monkeypatch):
-        """All requests at a target fall silent together, in a cut.
+        """In a network partition all requests at a target fall silent together.
 
-        Each probing by itself, a host would open connections by the dozen.
+        If each of them probed the target, a host would open dozens of connections.
         """
         (found, is_down, after, n_tries), refused = self.probe(
             log, [TimeoutError()], monkeypatch
         )
         assert found == [False] * 9
         assert (is_down, after) == (True, False)
-        # The probe's own tries, and the first of those that go on in the background.
-        assert n_tries <= TRIES + 1
+        # The attempts of the probe, and the first one of the background task.
+        assert n_tries <= PROBE_ATTEMPTS + 1
         assert refused == []
 
-    def test_refused_connection_tells_a_crash(self, log, monkeypatch):
+    def test_refused_connection_shows_a_crash(self, log, monkeypatch):
         _, refused = self.probe(log, [ConnectionRefusedError()], monkeypatch)
         assert set(refused) == {"t1"}
