--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -31,7 +31,7 @@
     Generator,
     ModelLoader,
     Placer,
-    RetryAccount,
+    RetryBudgets,
     ServiceRunner,
     ServiceSender,
 )
@@ -148,7 +148,7 @@
             self.settings.zone,
             self.telemetry.metrics.admit,
         )
-        retries = RetryAccount.from_rng(self.rng)
+        retries = RetryBudgets.from_rng(self.rng)
         crashes = CrashDetector(self.engines, self.strikes)
         generator = Generator(
             placer,
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/__init__.py
@@ -7,7 +7,7 @@
 from swifttide_daemon.runners._generator import Generator
 from swifttide_daemon.runners._model_loader import ModelLoader
 from swifttide_daemon.runners._placement import Placer
-from swifttide_daemon.runners._retry_account import RetryAccount
+from swifttide_daemon.runners._retry_budgets import RetryBudgets
 from swifttide_daemon.runners._service_runner import ServiceRunner, must_not_repeat
 from swifttide_daemon.runners._service_sender import ServiceSender
 from swifttide_daemon.runners._unrecorded_calls import UnrecordedCalls
@@ -20,7 +20,7 @@
     "Generator",
     "ModelLoader",
     "Placer",
-    "RetryAccount",
+    "RetryBudgets",
     "ServiceRunner",
     "ServiceSender",
     "UnrecordedCalls",
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_permit.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_call_context.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Permit:
+class CallContext:
     """What is checked again before each step of a call.
 
     Parameters
@@ -39,14 +39,14 @@
         """Seconds that are left, at least 0."""
         return max(0.0, self.deadline - time.monotonic())
 
-    def key_stands(self) -> bool:
+    def is_key_valid(self) -> bool:
         """Return whether the caller's key is still granted to its customer."""
         grant = self.config.key(self.call.key_hash)
         return grant is not None and grant.customer == self.call.customer
 
     def refusal(self) -> Refusal | None:
         """Return why the call may not be sent now, or None."""
-        if not self.key_stands():
+        if not self.is_key_valid():
             # The key can be withdrawn while the call waits in a queue.
             return Refusal(Reason.UNAUTHENTICATED, "the key was withdrawn")
         if self.remaining <= 0:
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_call_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_call_runner.py
@@ -5,8 +5,8 @@
 from swifttide_core.verdicts import Reason, Refusal, Verdict
 from swifttide_daemon.calls import Call, CallKind, Failed, Finished, RunningCall
 from swifttide_daemon.configuration import ConfigService
+from swifttide_daemon.runners._call_context import CallContext
 from swifttide_daemon.runners._chat_runner import ChatRunner
-from swifttide_daemon.runners._permit import Permit
 from swifttide_daemon.runners._service_runner import ServiceRunner
 from swifttide_daemon.telemetry import Telemetry
 
@@ -30,18 +30,18 @@
         telemetry: Telemetry,
     ) -> None:
         self.config = config
-        self.chats = chats
-        self.services = services
+        self.chat_runner = chats
+        self.service_runner = services
         self.telemetry = telemetry
 
     def run(self, call: Call, running: RunningCall, traceparent: str = "") -> None:
         """Run a call; its last event is final."""
         profile = self.config.profile(call.profile)
         if profile is None:
-            running.append(Failed(_no_profile(call.profile)))
+            running.append(Failed(_profile_not_found(call.profile)))
             return
-        permit = Permit(call, profile, self.config, time.monotonic())
-        refusal = permit.refusal()
+        context = CallContext(call, profile, self.config, time.monotonic())
+        refusal = context.refusal()
         if refusal is not None:
             running.append(Failed(refusal))
             return
@@ -54,9 +54,9 @@
         ) as span:
             match call.kind:
                 case CallKind.CHAT:
-                    self.chats.run(permit, running, span.traceparent)
+                    self.chat_runner.run(context, running, span.traceparent)
                 case CallKind.SERVICE:
-                    self.services.run(permit, running, span.traceparent)
+                    self.service_runner.run(context, running, span.traceparent)
             span.set(verdict=_verdict(running))
 
 
@@ -70,5 +70,5 @@
             return None
 
 
-def _no_profile(name: str) -> Refusal:
+def _profile_not_found(name: str) -> Refusal:
     return Refusal(Reason.NOT_FOUND, f"no profile {name!r} at this host yet")
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_chat_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_chat_runner.py
@@ -12,11 +12,11 @@
 from swifttide_daemon.membership import MembershipService
 from swifttide_daemon.programs import ProgramBook, ProgramEntry, platform_refusal
 from swifttide_daemon.recording import Recorder
+from swifttide_daemon.runners._call_context import CallContext
 from swifttide_daemon.runners._chat_body import ChatBody
 from swifttide_daemon.runners._generator import Generator
-from swifttide_daemon.runners._permit import Permit
 from swifttide_daemon.runners._prompt import Prompt
-from swifttide_daemon.runners._turn_runner import TurnRunner, finished
+from swifttide_daemon.runners._turn_runner import TurnRunner, finished_event
 from swifttide_daemon.store import new_id
 from swifttide_daemon.targets import not_holder
 
@@ -48,22 +48,22 @@
         self.generator = generator
         self.platform_available = platform_available
 
-    def run(self, permit: Permit, running: RunningCall, traceparent: str) -> None:
+    def run(self, context: CallContext, running: RunningCall, traceparent: str) -> None:
         """Run one call and append its events, the last one final."""
-        body = ChatBody.from_bytes(permit.call.body)
+        body = ChatBody.from_bytes(context.call.body)
         if body.is_error():
             running.append(Failed(body.error))
             return
-        if not permit.call.program:
-            running.append(self._run_bare(permit, body.ok, running, traceparent))
+        if not context.call.program:
+            running.append(self._run_stateless(context, body.ok, running, traceparent))
             return
-        entry = self.book.entry(permit.call)
-        if not entry.order.acquire(permit.remaining):
-            running.append(Failed(earlier_call_runs()))
+        entry = self.book.entry(context.call)
+        if not entry.order.acquire(context.remaining):
+            running.append(Failed(program_busy_refusal()))
             return
         try:
             running.append(
-                self._run_in_order(permit, body.ok, entry, running, traceparent)
+                self._run_in_order(context, body.ok, entry, running, traceparent)
             )
         finally:
             entry.active_at = time.monotonic()
@@ -71,26 +71,26 @@
 
     def _run_in_order(
         self,
-        permit: Permit,
+        context: CallContext,
         body: ChatBody,
         entry: ProgramEntry,
         running: RunningCall,
         traceparent: str,
     ) -> Finished | Failed:
         if not self.platform_available():
-            if permit.profile.history is HistoryMode.DURABLE:
+            if context.profile.history is HistoryMode.DURABLE:
                 # Found out after the engine had run, the turn would be lost work.
                 return Failed(platform_refusal())
-            return self._run_unrecorded(permit, body, running, traceparent)
-        epoch = self.membership.epoch(SlotKind.PROGRAM, permit.call.placement_key)
+            return self._run_without_platform(context, body, running, traceparent)
+        epoch = self.membership.epoch(SlotKind.PROGRAM, context.call.placement_key)
         if epoch is None:
             return Failed(not_holder("program"))
-        max_tokens = self._max_tokens(permit, body)
-        turn = self._turn(permit, body, epoch, max_tokens)
+        max_tokens = self._max_tokens(context, body)
+        turn = self._new_turn(context, body, epoch, max_tokens)
         runner = TurnRunner(
             self.book,
             self.generator,
-            permit,
+            context,
             body,
             entry,
             turn,
@@ -101,54 +101,62 @@
         )
         return runner.run()
 
-    def _run_bare(
-        self, permit: Permit, body: ChatBody, running: RunningCall, traceparent: str
+    def _run_stateless(
+        self,
+        context: CallContext,
+        body: ChatBody,
+        running: RunningCall,
+        traceparent: str,
     ) -> Finished | Failed:
         """Run a call without rows: a single one, or one during an outage."""
         prompt = Prompt(
             messages=body.messages,
-            max_tokens=self._max_tokens(permit, body),
-            fingerprint=self.generator.fingerprint(permit, body.messages),
+            max_tokens=self._max_tokens(context, body),
+            fingerprint=self.generator.fingerprint(context, body.messages),
         )
-        made = self.generator.generate(permit, prompt, running, traceparent)
+        made = self.generator.generate(context, prompt, running, traceparent)
         if made.is_error():
             return Failed(made.error)
-        return finished(permit.call.turn or 0, made.ok)
+        return finished_event(context.call.turn or 0, made.ok)
 
-    def _run_unrecorded(
-        self, permit: Permit, body: ChatBody, running: RunningCall, traceparent: str
+    def _run_without_platform(
+        self,
+        context: CallContext,
+        body: ChatBody,
+        running: RunningCall,
+        traceparent: str,
     ) -> Finished | Failed:
         """Run a turn whose caller holds the history while the platform is away.
 
         Nothing can be lost. Its tokens count against the budget as far as this host
         knows it; they are settled with the next commit.
         """
-        call = permit.call
-        tokens = self._max_tokens(permit, body) + body.content_bytes
-        if not self._within_budget(permit, tokens):
+        call = context.call
+        tokens = self._max_tokens(context, body) + body.content_bytes
+        if not self._within_budget(context, tokens):
             return Failed(Refusal(Reason.BUDGET, "the program's budget is used up"))
-        outcome = self._run_bare(permit, body, running, traceparent)
+        outcome = self._run_stateless(context, body, running, traceparent)
         if isinstance(outcome, Finished):
             used = outcome.completion_tokens + body.content_bytes
             self.book.count_unrecorded(call, used)
         return outcome
 
-    def _within_budget(self, permit: Permit, tokens: int) -> bool:
-        call = permit.call
+    def _within_budget(self, context: CallContext, tokens: int) -> bool:
+        call = context.call
         tree = self.book.tree(call)
         with tree.lock:
             root = tree.rows.get(f"{call.customer}/{call.root}")
             used = root.budget_used + root.budget_reserved if root else 0
             used += tree.unrecorded_tokens
-        return used + tokens <= permit.profile.budget_tokens
+        return used + tokens <= context.profile.budget_tokens
 
-    def _turn(
-        self, permit: Permit, body: ChatBody, epoch: int, max_tokens: int
+    def _new_turn(
+        self, context: CallContext, body: ChatBody, epoch: int, max_tokens: int
     ) -> Turn:
-        call = permit.call
+        call = context.call
         zone = self.membership.me.zone
         slot = self.membership.slot(SlotKind.PROGRAM, call.placement_key)
-        caller_keeps = permit.profile.history is HistoryMode.CALLER
+        caller_keeps = context.profile.history is HistoryMode.CALLER
         fresh = body.messages[-1:] if caller_keeps else body.messages
         ahead = self.book.take_ahead(call)
         return Turn(
@@ -158,9 +166,9 @@
             request=TurnRequest(
                 call.turn, sha256(call.body).hexdigest(), gaps=caller_keeps
             ),
-            new_program=self._new_row(permit, call.program, call.parent),
-            new_root=self._new_row(permit, call.root, ""),
-            profile=permit.profile,
+            new_program=self._new_row(context, call.program, call.parent),
+            new_root=self._new_row(context, call.root, ""),
+            profile=context.profile,
             tokens=max_tokens + sum(len(m.content.encode()) for m in fresh),
             now=time.time(),
             calls=self.book.calls_since_commit(call),
@@ -168,8 +176,8 @@
             ahead_term=ahead.term,
         )
 
-    def _new_row(self, permit: Permit, program: str, parent: str) -> ProgramRow:
-        call = permit.call
+    def _new_row(self, context: CallContext, program: str, parent: str) -> ProgramRow:
+        call = context.call
         return ProgramRow(
             customer=call.customer,
             program=program,
@@ -180,12 +188,12 @@
             zone=self.membership.me.zone,
         )
 
-    def _max_tokens(self, permit: Permit, body: ChatBody) -> int:
-        limit = permit.profile.max_turn_tokens
+    def _max_tokens(self, context: CallContext, body: ChatBody) -> int:
+        limit = context.profile.max_turn_tokens
         return min(limit, body.max_tokens or limit)
 
 
-def earlier_call_runs() -> Refusal:
+def program_busy_refusal() -> Refusal:
     """Return the refusal of a call that waited too long for its turn."""
     return Refusal(
         Reason.DEADLINE,
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
@@ -33,8 +33,8 @@
 from swifttide_core.verdicts import Reason, Refusal, Verdict
 from swifttide_daemon.calls import Call, Failed, Finished, RunningCall
 from swifttide_daemon.recording import Recorder
-from swifttide_daemon.runners._permit import Permit
-from swifttide_daemon.runners._retry_account import RetryAccount
+from swifttide_daemon.runners._call_context import CallContext
+from swifttide_daemon.runners._retry_budgets import RetryBudgets
 from swifttide_daemon.runners._service_sender import ServiceSender
 from swifttide_daemon.runners._unrecorded_calls import UnrecordedCalls
 from swifttide_daemon.store import (
@@ -46,13 +46,13 @@
     new_id,
 )
 
-INTENTS = "intents"
-MAX_JOURNAL_SECONDS = 10.0
+INTENTS_TABLE = "intents"
+JOURNAL_TIMEOUT_SECONDS = 10.0
 """How long a call waits for the journal before it is refused."""
 
-OUTCOME_PAUSE_SECONDS = 0.5
-MAX_OUTCOME_PAUSE_SECONDS = 10.0
-OUTCOME_SECONDS = 3600.0
+JOURNAL_RETRY_SECONDS = 0.5
+MAX_JOURNAL_RETRY_SECONDS = 10.0
+OUTCOME_RETRY_LIMIT_SECONDS = 3600.0
 """How long an outcome is offered to a platform that is down."""
 
 
@@ -66,13 +66,13 @@
     Parameters
     ----------
     sender : ServiceSender
-    retries : RetryAccount
+    retries : RetryBudgets
     platform : PlatformClient
         Keeps the journal.
     recorder : Recorder
     unrecorded : UnrecordedCalls
         Counts answers that the journal doesn't have yet.
-    permit : Permit
+    context : CallContext
     running : RunningCall
     traceparent : str
     """
@@ -80,11 +80,11 @@
     def __init__(
         self,
         sender: ServiceSender,
-        retries: RetryAccount,
+        retries: RetryBudgets,
         platform: PlatformClient,
         recorder: Recorder,
         unrecorded: UnrecordedCalls,
-        permit: Permit,
+        context: CallContext,
         running: RunningCall,
         traceparent: str,
     ) -> None:
@@ -93,27 +93,27 @@
         self.platform = platform
         self.recorder = recorder
         self.unrecorded = unrecorded
-        self.permit = permit
+        self.context = context
         self.running = running
         self.traceparent = traceparent
-        self.journal_until = time.monotonic() + MAX_JOURNAL_SECONDS
-        self.answered = False
+        self.journal_deadline = time.monotonic() + JOURNAL_TIMEOUT_SECONDS
+        self.caller_answered = False
 
     def run(self) -> None:
         """Take the call to its end; the caller is answered as soon as it is known."""
-        wanted = _wanted(self.permit.call)
+        wanted = _new_intent(self.context.call)
         step = start_call(wanted)
         self.recorded = self.recorder.start(CALL, (wanted,), step.actions)
         state = step.state
         actions = list(step.actions)
         while actions:
             action = actions.pop(0)
-            if isinstance(action, WriteRow) and self.answered:
+            if isinstance(action, WriteRow) and self.caller_answered:
                 # The caller has its answer; the journal gets the outcome when the
                 # platform is back, and the program goes on meanwhile.
-                self._finish_later(state, action)
+                self._write_in_background(state, action)
                 return
-            event = self._act(action)
+            event = self._execute(action)
             if event is None:
                 continue
             step = step_call(state, event)
@@ -121,7 +121,7 @@
             state = step.state
             actions.extend(step.actions)
 
-    def _act(self, action: CallAction) -> CallEvent | None:
+    def _execute(self, action: CallAction) -> CallEvent | None:
         match action:
             case ReadRow(key):
                 return self._read(key)
@@ -130,31 +130,31 @@
             case Dispatch():
                 return self._dispatch()
             case Reply(row):
-                self._answer(_replied(row))
+                self._answer_caller(_finished_event(row))
             case Refuse(refusal):
-                self._answer(Failed(refusal))
+                self._answer_caller(Failed(refusal))
         return None
 
-    def _answer(self, event: Finished | Failed) -> None:
-        self.answered = True
+    def _answer_caller(self, event: Finished | Failed) -> None:
+        self.caller_answered = True
         self.running.append(event)
 
     def _read(self, key: str) -> CallEvent:
-        found = self.platform.read(INTENTS, key)
+        found = self.platform.read(INTENTS_TABLE, key)
         if found.is_error():
             return PlatformFailed()
-        return RowRead(_intent_of(found.ok) if found.ok else None)
+        return RowRead(_intent_from_row(found.ok) if found.ok else None)
 
     def _write(self, action: WriteRow) -> CallEvent:
-        if not self.answered:
-            refusal = self.permit.refusal()
+        if not self.caller_answered:
+            refusal = self.context.refusal()
             if refusal is not None and action.transaction.endswith(":intent"):
                 return GaveUp(refusal)
         event = self._write_once(action)
-        if isinstance(event, PlatformFailed) and not self.answered:
-            if time.monotonic() >= self.journal_until:
-                return GaveUp(_journal_away())
-            time.sleep(OUTCOME_PAUSE_SECONDS)
+        if isinstance(event, PlatformFailed) and not self.caller_answered:
+            if time.monotonic() >= self.journal_deadline:
+                return GaveUp(_journal_unavailable())
+            time.sleep(JOURNAL_RETRY_SECONDS)
         return event
 
     def _write_once(self, action: WriteRow) -> CallEvent:
@@ -162,8 +162,8 @@
         value = msgspec.to_builtins(row)
         del value["version"]
         tx = Transaction(
-            (Check(INTENTS, row.key, row.version),),
-            (Write(INTENTS, row.key, value),),
+            (Check(INTENTS_TABLE, row.key, row.version),),
+            (Write(INTENTS_TABLE, row.key, value),),
             action.transaction,
         )
         outcome = self.platform.commit_soon(tx)
@@ -176,12 +176,17 @@
     def _dispatch(self) -> CallEvent:
         """Send once; only what proves that no byte left allows another target."""
         avoid: frozenset[str] = frozenset()
-        n_tries = 0
+        n_attempts = 0
         while True:
-            n_tries += 1
-            try_id = f"{self.permit.call.request_id}-{n_tries}"
+            n_attempts += 1
+            ticket_id = f"{self.context.call.request_id}-{n_attempts}"
             sent = self.sender.send(
-                self.permit, self.running, self.traceparent, try_id, avoid, reuse=False
+                self.context,
+                self.running,
+                self.traceparent,
+                ticket_id,
+                avoid,
+                reuse_connection=False,
             )
             if sent.is_ok():
                 answer = sent.ok
@@ -192,51 +197,51 @@
                 return TargetSilent()
             if not target:
                 return TargetUnreached(refusal)
-            if n_tries == 1:
-                self.retries.first_try(target, self.permit.call.customer)
+            if n_attempts == 1:
+                self.retries.record_first_attempt(target, self.context.call.customer)
             decision = self.retries.decide(
                 refusal.verdict,
                 repeatable=False,
-                n_tries=n_tries,
-                deadline=self.permit.deadline,
+                n_attempts=n_attempts,
+                deadline=self.context.deadline,
                 target=target,
-                customer=self.permit.call.customer,
+                customer=self.context.call.customer,
             )
             if not isinstance(decision, Retry):
                 return TargetUnreached(refusal)
             avoid |= {target}
             time.sleep(decision.after_seconds)
 
-    def _finish_later(self, state: CallState, action: WriteRow) -> None:
-        self.unrecorded.enter()
+    def _write_in_background(self, state: CallState, action: WriteRow) -> None:
+        self.unrecorded.increment()
         threading.Thread(
-            target=self._write_until_known, args=(state, action), daemon=True
+            target=self._run_background_write, args=(state, action), daemon=True
         ).start()
 
-    def _write_until_known(self, state: CallState, action: WriteRow) -> None:
+    def _run_background_write(self, state: CallState, action: WriteRow) -> None:
         try:
-            self._offer_outcome(state, action)
+            self._retry_outcome_write(state, action)
         finally:
-            self.unrecorded.leave()
+            self.unrecorded.decrement()
 
-    def _offer_outcome(self, state: CallState, action: WriteRow) -> None:
-        pause = OUTCOME_PAUSE_SECONDS
-        ends_at = time.monotonic() + OUTCOME_SECONDS
+    def _retry_outcome_write(self, state: CallState, action: WriteRow) -> None:
+        pause = JOURNAL_RETRY_SECONDS
+        ends_at = time.monotonic() + OUTCOME_RETRY_LIMIT_SECONDS
         actions: list[CallAction] = [action]
         while actions and time.monotonic() < ends_at:
-            event = self._act(actions.pop(0))
+            event = self._execute(actions.pop(0))
             if event is None:
                 continue
             if isinstance(event, PlatformFailed):
                 time.sleep(pause)
-                pause = min(2 * pause, MAX_OUTCOME_PAUSE_SECONDS)
+                pause = min(2 * pause, MAX_JOURNAL_RETRY_SECONDS)
             step = step_call(state, event)
             self.recorded.step(event, step.actions)
             state = step.state
             actions.extend(step.actions)
 
 
-def _wanted(call: Call) -> IntentRow:
+def _new_intent(call: Call) -> IntentRow:
     place = f"{call.service}/{call.path}".encode()
     return IntentRow(
         customer=call.customer,
@@ -249,11 +254,11 @@
     )
 
 
-def _intent_of(row: object) -> IntentRow:
+def _intent_from_row(row: object) -> IntentRow:
     return replace(msgspec.convert(row.value, IntentRow), version=row.version)
 
 
-def _replied(row: IntentRow) -> Finished:
+def _finished_event(row: IntentRow) -> Finished:
     return Finished(
         status=row.status,
         body=row.answer.encode(BODY_CODEC),
@@ -261,7 +266,7 @@
     )
 
 
-def _journal_away() -> Refusal:
+def _journal_unavailable() -> Refusal:
     return Refusal(
         Reason.PLATFORM_UNAVAILABLE,
         "the journal can't be written, so the call wasn't sent",
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_model_loader.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_model_loader.py
@@ -29,10 +29,10 @@
     def __init__(self, engines: EngineClient, fencing: Callable[[], int]) -> None:
         self.engines = engines
         self.fencing = fencing
-        self._ordered: set[tuple[str, str]] = set()
+        self._loading: set[tuple[str, str]] = set()
         self._lock = threading.Lock()
 
-    def want(self, target: Target, model: str) -> None:
+    def load_in_background(self, target: Target, model: str) -> None:
         """Order a model in the background, unless this host is doing so already.
 
         Loading takes long; the call that found it missing goes elsewhere or is
@@ -40,9 +40,9 @@
         """
         order = (target.name, model)
         with self._lock:
-            if order in self._ordered:
+            if order in self._loading:
                 return
-            self._ordered.add(order)
+            self._loading.add(order)
         threading.Thread(target=self._load, args=(target, model), daemon=True).start()
 
     def _load(self, target: Target, model: str) -> None:
@@ -51,4 +51,4 @@
             log.info("model_ordered", extra={"target": target.name, "loaded": loaded})
         finally:
             with self._lock:
-                self._ordered.discard((target.name, model))
+                self._loading.discard((target.name, model))
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_placement.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_placement.py
@@ -11,7 +11,7 @@
 from swifttide_core.retries import Blocked, BreakerPermit
 from swifttide_core.routing import CachedPrefix, NoTarget, RouteRequest
 from swifttide_core.verdicts import Reason, Refusal
-from swifttide_daemon.runners._permit import Permit
+from swifttide_daemon.runners._call_context import CallContext
 from swifttide_daemon.targets import (
     POLL_SECONDS,
     AcquireRequest,
@@ -19,7 +19,7 @@
     TargetBoard,
 )
 
-MAX_TARGETS_ASKED = 8
+MAX_TARGETS_TRIED = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,8 +64,8 @@
 
     target: Target
     ticket_id: str
-    passed: BreakerPermit
-    granted_at: float
+    breaker_permit: BreakerPermit
+    admitted_at: float
 
 
 class Placer:
@@ -94,13 +94,17 @@
         self.on_admit = on_admit
 
     def place(
-        self, permit: Permit, demand: Demand, ticket_id: str, avoid: frozenset[str]
+        self,
+        context: CallContext,
+        demand: Demand,
+        ticket_id: str,
+        avoid: frozenset[str],
     ) -> Result[Placement, Refusal]:
         """Wait for a target; the first final refusal without another way is returned.
 
         Parameters
         ----------
-        permit : Permit
+        context : CallContext
         demand : Demand
         ticket_id : str
             Unique for each try of the call.
@@ -108,20 +112,22 @@
             Targets on which this call failed.
         """
         refusal: Refusal | None = None
-        for _ in range(MAX_TARGETS_ASKED):
-            choice = self.board.choose(self._route(demand, avoid))
+        for _ in range(MAX_TARGETS_TRIED):
+            choice = self.board.choose(self._route_request(demand, avoid))
             if isinstance(choice, NoTarget):
                 return Error(refusal or choice.refusal)
             target = self.board.target(choice.target)
-            passed = self.board.ask(choice.target)
-            if target is None or isinstance(passed, Blocked):
+            breaker_permit = self.board.ask(choice.target)
+            if target is None or isinstance(breaker_permit, Blocked):
                 self.board.finished(choice.target)
                 avoid |= {choice.target}
                 continue
-            asked = self._ask(permit, demand, target, ticket_id)
+            asked = self._acquire(context, demand, target, ticket_id)
             if asked.is_ok():
-                return Ok(Placement(target, ticket_id, passed, time.monotonic()))
-            self.board.withdraw(target.name, passed)
+                return Ok(
+                    Placement(target, ticket_id, breaker_permit, time.monotonic())
+                )
+            self.board.withdraw(target.name, breaker_permit)
             self.board.finished(target.name)
             refusal, elsewhere = asked.error
             if not elsewhere:
@@ -131,12 +137,12 @@
 
     def finish(self, placement: Placement, outcome: Outcome, ok: bool) -> None:
         """End an admitted call that was sent."""
-        self.board.report(placement.target.name, placement.passed, ok)
+        self.board.report(placement.target.name, placement.breaker_permit, ok)
         self._release(placement, outcome)
 
-    def drop(self, placement: Placement) -> None:
+    def cancel(self, placement: Placement) -> None:
         """End an admitted call that was not sent."""
-        self.board.withdraw(placement.target.name, placement.passed)
+        self.board.withdraw(placement.target.name, placement.breaker_permit)
         self._release(placement, Outcome(OutcomeStatus.NOT_SENT))
 
     def _release(self, placement: Placement, outcome: Outcome) -> None:
@@ -149,11 +155,11 @@
             lambda answer: self.board.learn(name, answer.snapshot),
         )
 
-    def _ask(
-        self, permit: Permit, demand: Demand, target: Target, ticket_id: str
+    def _acquire(
+        self, context: CallContext, demand: Demand, target: Target, ticket_id: str
     ) -> Result[None, tuple[Refusal, bool]]:
-        call = permit.call
-        profile = permit.profile
+        call = context.call
+        profile = context.profile
         asked_at = time.monotonic()
         req = AcquireRequest(
             ticket_id=ticket_id,
@@ -161,17 +167,17 @@
             program=call.program_path or call.request_id,
             weight=profile.weight,
             urgency=profile.urgency,
-            deadline_in_seconds=min(profile.deadline_seconds, permit.remaining),
+            deadline_in_seconds=min(profile.deadline_seconds, context.remaining),
             expected_tokens=demand.expected_tokens,
             attained_tokens=demand.attained_tokens,
             context_tokens=demand.context_tokens,
             expected_context_tokens=demand.expected_context_tokens,
             expected_remaining_seconds=demand.expected_remaining_seconds,
             new_history=demand.new_history,
-            waited_seconds=asked_at - permit.started_at,
+            waited_seconds=asked_at - context.started_at,
             wait_seconds=POLL_SECONDS,
         )
-        answer = self.grants.wait(target, req, permit.deadline)
+        answer = self.grants.wait(target, req, context.deadline)
         if answer.is_error():
             return Error((answer.error, True))
         self.board.learn(target.name, answer.ok.snapshot)
@@ -181,7 +187,7 @@
         self.on_admit(call.customer, target.name, waited)
         return Ok(None)
 
-    def _route(self, demand: Demand, avoid: frozenset[str]) -> RouteRequest:
+    def _route_request(self, demand: Demand, avoid: frozenset[str]) -> RouteRequest:
         return RouteRequest(
             serves=demand.serves,
             zone=self.zone,
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_prompt.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_prompt.py
@@ -22,13 +22,13 @@
         queue's units.
     new_history : bool
         Whether it is the first call of a sub-agent.
-    former_tokens : int
+    history_tokens : int
         Tokens of the history before the new messages.
-    targets : tuple of str
+    cache_targets : tuple of str
         Engines that may hold the history's cache.
-    exported : tuple of (str, int) or None
+    exported_cache : tuple of (str, int) or None
         Object that holds the history's cache, and its tokens.
-    fencing : int
+    fencing_token : int
         Version of the program's row: an engine that checks it refuses a holder that
         was paused while another went on.
     """
@@ -36,16 +36,16 @@
     messages: tuple[Message, ...]
     max_tokens: int
     fingerprint: str
-    former_tokens: int = 0
+    history_tokens: int = 0
     attained_cost: float = 0.0
     new_history: bool = False
-    targets: tuple[str, ...] = ()
-    exported: tuple[str, int] | None = None
-    fencing: int = 0
+    cache_targets: tuple[str, ...] = ()
+    exported_cache: tuple[str, int] | None = None
+    fencing_token: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Generated:
+class GeneratedAnswer:
     """A whole answer of an engine."""
 
     text: str
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_retry_account.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_retry_budgets.py
@@ -10,7 +10,7 @@
 MAX_BUDGETS = 10_000
 
 
-class RetryAccount:
+class RetryBudgets:
     """Budgets by name, and the decision whether a call is tried again.
 
     Parameters
@@ -24,22 +24,22 @@
         self._lock = threading.Lock()
 
     @classmethod
-    def from_rng(cls, rng: random.Random) -> "RetryAccount":
+    def from_rng(cls, rng: random.Random) -> "RetryBudgets":
         """Return an account whose pauses are drawn from `rng`."""
         return cls(Backoff(rng))
 
-    def first_try(self, target: str, customer: str) -> None:
+    def record_first_attempt(self, target: str, customer: str) -> None:
         """Count a call that is sent for the first time."""
         now = time.monotonic()
         with self._lock:
-            for budget in self._pair(target, customer, now):
+            for budget in self._budgets_of(target, customer, now):
                 budget.record_first_attempt(now)
 
     def decide(
         self,
         verdict: Verdict,
         repeatable: bool,
-        n_tries: int,
+        n_attempts: int,
         deadline: float,
         target: str,
         customer: str,
@@ -52,13 +52,13 @@
                 repeatable,
                 0,
                 now=now,
-                n_attempts=n_tries,
+                n_attempts=n_attempts,
                 deadline=deadline,
-                budgets=self._pair(target, customer, now),
+                budgets=self._budgets_of(target, customer, now),
                 backoff=self.backoff,
             )
 
-    def _pair(self, target: str, customer: str, now: float) -> list[RetryBudget]:
+    def _budgets_of(self, target: str, customer: str, now: float) -> list[RetryBudget]:
         if len(self._budgets) > MAX_BUDGETS:
             self._budgets.clear()
         return [
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_runner.py
@@ -8,10 +8,10 @@
 from swifttide_daemon.calls import Call, Failed, Finished, RunningCall
 from swifttide_daemon.programs import ProgramBook
 from swifttide_daemon.recording import Recorder
-from swifttide_daemon.runners._chat_runner import earlier_call_runs
+from swifttide_daemon.runners._call_context import CallContext
+from swifttide_daemon.runners._chat_runner import program_busy_refusal
 from swifttide_daemon.runners._journaled_call import JournaledCall
-from swifttide_daemon.runners._permit import Permit
-from swifttide_daemon.runners._retry_account import RetryAccount
+from swifttide_daemon.runners._retry_budgets import RetryBudgets
 from swifttide_daemon.runners._service_sender import ServiceSender
 from swifttide_daemon.runners._unrecorded_calls import UnrecordedCalls
 from swifttide_daemon.store import (
@@ -34,7 +34,7 @@
     book : ProgramBook
         Orders the calls of a program.
     sender : ServiceSender
-    retries : RetryAccount
+    retries : RetryBudgets
     platform : PlatformClient
         Keeps the journal.
     recorder : Recorder
@@ -49,7 +49,7 @@
         self,
         book: ProgramBook,
         sender: ServiceSender,
-        retries: RetryAccount,
+        retries: RetryBudgets,
         platform: PlatformClient,
         recorder: Recorder,
     ) -> None:
@@ -60,29 +60,29 @@
         self.recorder = recorder
         self.unrecorded = UnrecordedCalls()
 
-    def run(self, permit: Permit, running: RunningCall, traceparent: str) -> None:
+    def run(self, context: CallContext, running: RunningCall, traceparent: str) -> None:
         """Run one call and append its events, the last one final."""
         order = None
-        if permit.call.program:
-            refusal = self.book.count_call(permit.call, permit.profile)
+        if context.call.program:
+            refusal = self.book.count_call(context.call, context.profile)
             if refusal is not None:
                 running.append(Failed(refusal))
                 return
-            order = self.book.entry(permit.call).order
-            if not order.acquire(permit.remaining):
-                running.append(Failed(earlier_call_runs()))
+            order = self.book.entry(context.call).order
+            if not order.acquire(context.remaining):
+                running.append(Failed(program_busy_refusal()))
                 return
         try:
-            if must_not_repeat(permit.profile, permit.call):
-                self._run_journaled(permit, running, traceparent)
+            if must_not_repeat(context.profile, context.call):
+                self._run_journaled(context, running, traceparent)
             else:
-                self._run_repeatable(permit, running, traceparent)
+                self._run_repeatable(context, running, traceparent)
         finally:
             if order is not None:
                 order.release()
 
     def _run_journaled(
-        self, permit: Permit, running: RunningCall, traceparent: str
+        self, context: CallContext, running: RunningCall, traceparent: str
     ) -> None:
         JournaledCall(
             self.sender,
@@ -90,23 +90,23 @@
             self.platform,
             self.recorder,
             self.unrecorded,
-            permit,
+            context,
             running,
             traceparent,
         ).run()
 
     def _run_repeatable(
-        self, permit: Permit, running: RunningCall, traceparent: str
+        self, context: CallContext, running: RunningCall, traceparent: str
     ) -> None:
-        call = permit.call
+        call = context.call
         avoid: frozenset[str] = frozenset()
-        n_tries = 0
+        n_attempts = 0
         may_have_run = False
         while True:
-            n_tries += 1
-            try_id = f"{call.request_id}-{n_tries}"
+            n_attempts += 1
+            ticket_id = f"{call.request_id}-{n_attempts}"
             sent = self.sender.send(
-                permit, running, traceparent, try_id, avoid, reuse=True
+                context, running, traceparent, ticket_id, avoid, reuse_connection=True
             )
             if sent.is_ok():
                 running.append(_finished(sent.ok))
@@ -116,13 +116,13 @@
                 running.append(Failed(refusal.with_earlier_attempts(may_have_run)))
                 return
             may_have_run |= refusal.verdict is not Verdict.NOT_RUN
-            if n_tries == 1:
-                self.retries.first_try(target, call.customer)
+            if n_attempts == 1:
+                self.retries.record_first_attempt(target, call.customer)
             decision = self.retries.decide(
                 refusal.verdict,
                 repeatable=True,
-                n_tries=n_tries,
-                deadline=permit.deadline,
+                n_attempts=n_attempts,
+                deadline=context.deadline,
                 target=target,
                 customer=call.customer,
             )
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_sender.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_sender.py
@@ -5,7 +5,7 @@
 from swifttide_core.admission import Outcome, OutcomeStatus
 from swifttide_core.verdicts import Refusal, Verdict
 from swifttide_daemon.calls import Call, RunningCall, Started
-from swifttide_daemon.runners._permit import Permit
+from swifttide_daemon.runners._call_context import CallContext
 from swifttide_daemon.runners._placement import Demand, Placement, Placer
 from swifttide_daemon.targets import ServiceAnswer, ServiceClient, TargetFailure
 from swifttide_daemon.telemetry import Telemetry
@@ -30,12 +30,12 @@
 
     def send(
         self,
-        permit: Permit,
+        context: CallContext,
         running: RunningCall,
         traceparent: str,
-        try_id: str,
+        ticket_id: str,
         avoid: frozenset[str],
-        reuse: bool,
+        reuse_connection: bool,
     ) -> Result[ServiceAnswer, tuple[Refusal, str]]:
         """Send a call to one target, once.
 
@@ -45,25 +45,31 @@
             The answer, or the refusal and the target that it failed on (empty when
             it was never placed).
         """
-        demand = Demand(serves=permit.call.service)
-        placed = self.placer.place(permit, demand, try_id, avoid)
+        demand = Demand(serves=context.call.service)
+        placed = self.placer.place(context, demand, ticket_id, avoid)
         if placed.is_error():
             return Error((placed.error, ""))
         placement = placed.ok
         # Time has passed in the queue, and this is the last moment before dispatch.
-        refusal = permit.refusal()
+        refusal = context.refusal()
         if refusal is not None:
-            self.placer.drop(placement)
+            self.placer.cancel(placement)
             return Error((refusal, ""))
         running.append(Started(placement.target.name))
-        return self._exchange(permit, placement, traceparent, reuse)
+        return self._exchange(context, placement, traceparent, reuse_connection)
 
     def _exchange(
-        self, permit: Permit, placement: Placement, traceparent: str, reuse: bool
+        self,
+        context: CallContext,
+        placement: Placement,
+        traceparent: str,
+        reuse_connection: bool,
     ) -> Result[ServiceAnswer, tuple[Refusal, str]]:
         name = placement.target.name
         try:
-            answer = self._send_traced(permit, placement, traceparent, reuse)
+            answer = self._send_traced(
+                context, placement, traceparent, reuse_connection
+            )
         except TargetFailure as failure:
             sent = failure.verdict is not Verdict.NOT_RUN
             status = OutcomeStatus.FAILED if sent else OutcomeStatus.NOT_SENT
@@ -80,9 +86,13 @@
         return Ok(answer)
 
     def _send_traced(
-        self, permit: Permit, placement: Placement, traceparent: str, reuse: bool
+        self,
+        context: CallContext,
+        placement: Placement,
+        traceparent: str,
+        reuse_connection: bool,
     ) -> ServiceAnswer:
-        call = permit.call
+        call = context.call
         with self.telemetry.span(
             "target",
             traceparent,
@@ -94,8 +104,8 @@
                 call.path,
                 call.body,
                 _headers(call, span.traceparent),
-                permit.remaining,
-                reuse,
+                context.remaining,
+                reuse_connection,
             )
             span.set(status=answer.status, verdict=Verdict.RAN.value)
             return answer
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
@@ -39,14 +39,14 @@
     platform_refusal,
 )
 from swifttide_daemon.recording import Recorder
+from swifttide_daemon.runners._call_context import CallContext
 from swifttide_daemon.runners._chat_body import ChatBody
 from swifttide_daemon.runners._generator import Generator
-from swifttide_daemon.runners._permit import Permit
-from swifttide_daemon.runners._prompt import Generated, Prompt
+from swifttide_daemon.runners._prompt import GeneratedAnswer, Prompt
 from swifttide_daemon.store import Committed
 
-STORE_PAUSE_SECONDS = 0.2
-STORE_PATIENCE_SECONDS = 15.0
+STORE_RETRY_SECONDS = 0.2
+STORE_TIMEOUT_SECONDS = 15.0
 """How long a turn that was generated waits for the platform to take it."""
 
 
@@ -57,7 +57,7 @@
     ----------
     book : ProgramBook
     generator : Generator
-    permit : Permit
+    context : CallContext
     body : ChatBody
     entry : ProgramEntry
         Its order lock is held.
@@ -73,7 +73,7 @@
         self,
         book: ProgramBook,
         generator: Generator,
-        permit: Permit,
+        context: CallContext,
         body: ChatBody,
         entry: ProgramEntry,
         turn: Turn,
@@ -85,28 +85,28 @@
         self.recorder = recorder
         self.book = book
         self.generator = generator
-        self.permit = permit
+        self.context = context
         self.body = body
         self.entry = entry
         self.turn = turn
         self.max_tokens = max_tokens
         self.running = running
         self.traceparent = traceparent
-        self.made: Generated | None = None
+        self.generated: GeneratedAnswer | None = None
         self.chunk: Chunk | None = None
-        self.refusal: Refusal | None = None
-        self.store_until = float("inf")
+        self.model_refusal: Refusal | None = None
+        self.store_deadline = float("inf")
 
     def run(self) -> Finished | Failed:
         """Take the turn to its end."""
-        known = self.book.known_rows(self.permit.call, self.turn.row_keys)
+        known = self.book.known_rows(self.context.call, self.turn.row_keys)
         step = start_turn(self.turn, known)
         run = self.recorder.start(TURN, (self.turn, known), step.actions)
         state = step.state
         actions = list(step.actions)
         while actions:
             action = actions.pop(0)
-            outcome = self._act(action)
+            outcome = self._execute(action)
             if isinstance(outcome, Finished | Failed):
                 return outcome
             step = step_turn(state, outcome)
@@ -115,52 +115,52 @@
             actions.extend(step.actions)
         return Failed(platform_refusal(Verdict.MAY_HAVE_RUN))
 
-    def _act(self, action: TurnAction) -> TurnEvent | Finished | Failed:
+    def _execute(self, action: TurnAction) -> TurnEvent | Finished | Failed:
         match action:
             case ReadRows(keys):
-                return self._read(keys)
+                return self._read_rows(keys)
             case WriteRows():
-                return self._write(action)
+                return self._write_rows(action)
             case RunModel(_, chunks):
                 return self._generate(chunks)
             case PutChunk(name):
-                return self._store(name)
+                return self._store_chunk(name)
             case ReplyTurn():
                 return self._reply(action)
             case RefuseRequest(refusal):
                 return self._refuse(refusal)
 
-    def _read(self, keys: tuple[str, ...]) -> TurnEvent:
+    def _read_rows(self, keys: tuple[str, ...]) -> TurnEvent:
         rows = self.book.store.read_rows(keys)
         if rows.is_error():
             return self._store_failed()
-        self.book.learn(self.permit.call, rows.ok)
+        self.book.learn(self.context.call, rows.ok)
         return RowsRead(rows.ok)
 
-    def _write(self, action: WriteRows) -> TurnEvent:
-        if self.made is None:
-            refusal = self.permit.refusal()
+    def _write_rows(self, action: WriteRows) -> TurnEvent:
+        if self.generated is None:
+            refusal = self.context.refusal()
             if refusal is not None:
                 return TurnGivenUp(refusal)
         outcome = self.book.store.write_rows(action.rows, action.transaction)
         if outcome.is_error():
             # Whether it took effect is unknown; rows in memory may be old.
-            self.book.forget_rows(self.permit.call)
+            self.book.forget_rows(self.context.call)
             return self._store_failed()
         if not isinstance(outcome.ok, Committed):
-            self.book.forget_rows(self.permit.call)
+            self.book.forget_rows(self.context.call)
             return RowsConflict()
         versions = outcome.ok.versions
-        self.book.learn(self.permit.call, _with_versions(action.rows, versions))
+        self.book.learn(self.context.call, _with_versions(action.rows, versions))
         return RowsWritten(versions)
 
     def _store_failed(self) -> TurnEvent:
         """Tell the machine that the platform is away, after a pause, or give up."""
         now = time.monotonic()
-        self.store_until = min(self.store_until, now + STORE_PATIENCE_SECONDS)
-        if now >= min(self.store_until, self.permit.deadline):
+        self.store_deadline = min(self.store_deadline, now + STORE_TIMEOUT_SECONDS)
+        if now >= min(self.store_deadline, self.context.deadline):
             return TurnGivenUp(platform_refusal())
-        time.sleep(STORE_PAUSE_SECONDS)
+        time.sleep(STORE_RETRY_SECONDS)
         return StoreFailed()
 
     def _generate(self, chunks: tuple[str, ...]) -> TurnEvent:
@@ -168,72 +168,72 @@
         if isinstance(prompt, Refusal):
             return ModelUnreached(prompt)
         generated = self.generator.generate(
-            self.permit, prompt, self.running, self.traceparent
+            self.context, prompt, self.running, self.traceparent
         )
         if generated.is_error():
-            self.refusal = generated.error
+            self.model_refusal = generated.error
             if generated.error.verdict is Verdict.NOT_RUN:
                 return ModelUnreached(generated.error)
             return ModelFailed()
-        self.made = generated.ok
-        unrecorded = self.book.take_unrecorded(self.permit.call)
-        fresh = max(0, self.made.total_tokens - prompt.former_tokens)
-        return ModelAnswered(fresh + unrecorded, self.made.target)
+        self.generated = generated.ok
+        unrecorded = self.book.take_unrecorded(self.context.call)
+        fresh = max(0, self.generated.total_tokens - prompt.history_tokens)
+        return ModelAnswered(fresh + unrecorded, self.generated.target)
 
     def _prompt(self, chunks: tuple[str, ...]) -> Prompt | Refusal:
         messages = self.body.messages
-        if self.permit.profile.history is HistoryMode.DURABLE:
+        if self.context.profile.history is HistoryMode.DURABLE:
             history = self.book.history(self.entry, chunks)
             if history.is_error():
                 return history.error
             messages = (*history.ok, *messages)
-        rows = self.book.known_rows(self.permit.call, self.turn.row_keys[:1])
+        rows = self.book.known_rows(self.context.call, self.turn.row_keys[:1])
         row = rows[0] if rows else self.turn.new_program
         exported, self.entry.exported = self.entry.exported, None
         return Prompt(
             messages=messages,
             max_tokens=self.max_tokens,
-            fingerprint=self.generator.fingerprint(self.permit, messages),
-            former_tokens=row.total_tokens,
-            attained_cost=self.book.attained_cost(self.permit.call),
-            new_history=self.permit.call.is_sub_agent and row.turns == 0,
-            targets=row.targets,
-            exported=exported,
-            fencing=row.version,
+            fingerprint=self.generator.fingerprint(self.context, messages),
+            history_tokens=row.total_tokens,
+            attained_cost=self.book.attained_cost(self.context.call),
+            new_history=self.context.call.is_sub_agent and row.turns == 0,
+            cache_targets=row.targets,
+            exported_cache=exported,
+            fencing_token=row.version,
         )
 
-    def _store(self, name: str) -> TurnEvent:
+    def _store_chunk(self, name: str) -> TurnEvent:
         number = int(name.rpartition("/")[2].partition("-")[0])
         self.chunk = Chunk(
             turn=number,
-            messages=self._own_messages(),
-            answer=self.made.text,
-            prompt_tokens=self.made.prompt_tokens,
-            completion_tokens=self.made.completion_tokens,
+            messages=self._new_messages(),
+            answer=self.generated.text,
+            prompt_tokens=self.generated.prompt_tokens,
+            completion_tokens=self.generated.completion_tokens,
         )
         if self.book.store.put_chunk(name, self.chunk):
             return ChunkStored()
         return self._store_failed()
 
-    def _own_messages(self) -> tuple[Message, ...]:
+    def _new_messages(self) -> tuple[Message, ...]:
         """Return the messages that this turn adds to the history."""
-        if self.permit.profile.history is HistoryMode.CALLER:
+        if self.context.profile.history is HistoryMode.CALLER:
             return self.body.messages[-1:]
         return self.body.messages
 
     def _reply(self, action: ReplyTurn) -> Finished | Failed:
         if action.chunk != self.turn.chunk_name(action.number):
             return self._replay(action)
-        self.entry.attained_cost += self.made.cost
-        self.book.forget_calls(self.permit.call, self.turn.calls)
+        self.entry.attained_cost += self.generated.cost
+        self.book.forget_calls(self.context.call, self.turn.calls)
         ahead = Ahead(action.ahead, action.term)
-        self.book.leave_ahead(self.permit.call, ahead)
+        self.book.leave_ahead(self.context.call, ahead)
         self.book.remember(self.entry, action.chunk, self.chunk)
-        return finished(action.number, self.made)
+        return finished_event(action.number, self.generated)
 
     def _replay(self, action: ReplyTurn) -> Finished | Failed:
         ahead = Ahead(self.turn.ahead, self.turn.ahead_term)
-        self.book.leave_ahead(self.permit.call, ahead)
+        self.book.leave_ahead(self.context.call, ahead)
         chunk = self.book.store.chunk(action.chunk)
         if chunk.is_error():
             return Failed(chunk.error.with_verdict(Verdict.RAN))
@@ -250,13 +250,16 @@
         if refusal.verdict is Verdict.NOT_RUN:
             # Nothing used the reservation of an earlier commit.
             ahead = Ahead(self.turn.ahead, self.turn.ahead_term)
-            self.book.leave_ahead(self.permit.call, ahead)
-        if self.refusal is not None and self.refusal.verdict is refusal.verdict:
-            return Failed(self.refusal)
+            self.book.leave_ahead(self.context.call, ahead)
+        if (
+            self.model_refusal is not None
+            and self.model_refusal.verdict is refusal.verdict
+        ):
+            return Failed(self.model_refusal)
         return Failed(refusal)
 
 
-def finished(number: int, made: Generated) -> Finished:
+def finished_event(number: int, made: GeneratedAnswer) -> Finished:
     """Return the final event of a turn."""
     return Finished(
         status=200,
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_unrecorded_calls.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_unrecorded_calls.py
@@ -11,20 +11,20 @@
     """
 
     def __init__(self) -> None:
-        self._n = 0
+        self._n_outcomes = 0
         self._lock = threading.Lock()
 
-    def enter(self) -> None:
+    def increment(self) -> None:
         """Count an outcome that waits."""
         with self._lock:
-            self._n += 1
+            self._n_outcomes += 1
 
-    def leave(self) -> None:
+    def decrement(self) -> None:
         """Count an outcome that is written, or given up."""
         with self._lock:
-            self._n -= 1
+            self._n_outcomes -= 1
 
     def count(self) -> int:
         """Return how many outcomes wait."""
         with self._lock:
-            return self._n
+            return self._n_outcomes
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/tests/test_crash_detector.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/tests/test_crash_detector.py
@@ -10,7 +10,7 @@
 TARGET = Target("e", TargetKind.ENGINE, "z", "http://127.0.0.1:1", "m")
 
 
-class Engines:
+class FakeEngineClient:
     """Answers load reports under the given incarnations, None for no answer."""
 
     def __init__(self, *incarnations):
@@ -21,7 +21,7 @@
         return None if found is None else {"incarnation": found}
 
 
-class Strikes:
+class FakeStrikeService:
     def __init__(self):
         self.reported = []
 
@@ -30,37 +30,37 @@
 
 
 @pytest.fixture(autouse=True)
-def _no_pauses(monkeypatch):
-    monkeypatch.setattr(module, "LOOK_PAUSE_SECONDS", 0.0)
+def _no_probe_interval(monkeypatch):
+    monkeypatch.setattr(module, "PROBE_INTERVAL_SECONDS", 0.0)
 
 
-def detector(*incarnations):
-    return CrashDetector(Engines(*incarnations), Strikes())
+def make_detector(*incarnations):
+    return CrashDetector(FakeEngineClient(*incarnations), FakeStrikeService())
 
 
 class TestCrashDetector:
-    def test_cut_is_no_crash(self):
+    def test_same_incarnation_is_no_crash(self):
         """A link flaps. Healthy requests would collect strikes and be refused."""
-        found = detector("one")
-        assert not found.broke(TARGET, "f", "one")
+        found = make_detector("one")
+        assert not found.report_if_crashed(TARGET, "f", "one")
         assert found.strikes.reported == []
 
     def test_new_incarnation_is_a_crash(self):
-        found = detector(None, "two")
-        assert found.broke(TARGET, "f", "one")
+        found = make_detector(None, "two")
+        assert found.report_if_crashed(TARGET, "f", "one")
         assert found.strikes.reported == [Strike("f", "e", "one")]
 
-    def test_target_that_stays_away_is_a_crash(self):
+    def test_target_without_answer_is_a_crash(self):
         """The request took the engine down for good. Taken for a cut, it would go on
         to the next engine, and the next.
         """
-        found = detector(None, None, None)
-        assert found.broke(TARGET, "f", "one")
+        found = make_detector(None, None, None)
+        assert found.report_if_crashed(TARGET, "f", "one")
         assert found.strikes.reported == [Strike("f", "e", "one")]
 
-    def test_request_beside_the_crash_is_judged_by_the_next_answer(self):
+    def test_concurrent_broken_request_is_reported_at_next_answer(self):
         """Two requests broke with one engine; the second found nothing out itself."""
-        found = detector(None, None, None, "two")
-        found.broke(TARGET, "f", "one")
-        found.incarnation(TARGET)
+        found = make_detector(None, None, None, "two")
+        found.report_if_crashed(TARGET, "f", "one")
+        found.query_incarnation(TARGET)
         assert found.strikes.reported == [Strike("f", "e", "one")] * 2
