--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_call_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_call_runner.py
@@ -1,4 +1,9 @@
-"""Runs whatever kind of call it is given."""
+"""Runs a chat turn or a service call at the holder of its program.
+
+A call is refused before it starts if its profile is unknown at this host, its API key
+is no longer valid, or its time has run out. Otherwise it is passed to the runner of its
+kind and traced as one span.
+"""
 
 import time
 
@@ -12,7 +17,7 @@
 
 
 class CallRunner:
-    """Entry point of the holder's work.
+    """Checks each call and passes it to the runner of its kind.
 
     Parameters
     ----------
@@ -35,7 +40,7 @@
         self.telemetry = telemetry
 
     def run(self, call: Call, running: RunningCall, traceparent: str = "") -> None:
-        """Run a call; its last event is final."""
+        """Run a call and append its events; the last one is `Finished` or `Failed`."""
         profile = self.config.profile(call.profile)
         if profile is None:
             running.append(Failed(_profile_not_found(call.profile)))
@@ -71,4 +76,4 @@
 
 
 def _profile_not_found(name: str) -> Refusal:
-    return Refusal(Reason.NOT_FOUND, f"no profile {name!r} at this host yet")
+    return Refusal(Reason.NOT_FOUND, f"profile {name!r} is not known at this host yet")
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_chat_body.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_chat_body.py
@@ -1,4 +1,4 @@
-"""The body of a chat request, as callers send it."""
+"""Decoding of the JSON body of a chat request."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -15,19 +15,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ChatBody:
-    """What swifttide reads of the body; other members are refused.
+    """Members of a chat request that are read; other members are ignored.
 
     Parameters
     ----------
     messages : tuple of Message
-        New messages of the turn, or the whole history where the profile says that
-        callers hold it.
+        New messages of the turn, or the whole history if the profile's history mode
+        is ``caller``.
     model : str
-        Ignored but for a check: the profile names the model.
+        Only checked to be text; the model is set by the profile.
     max_tokens : int or None
-        Bounded by the profile.
+        Largest number of generated tokens; the profile may set a lower limit.
     stream : bool
-        Whether the caller wants server-sent events.
+        Whether the answer is sent as server-sent events.
     """
 
     messages: Annotated[
@@ -39,13 +39,13 @@
 
     @classmethod
     def from_bytes(cls, body: bytes) -> Result["ChatBody", Refusal]:
-        """Decode a body, or say what is wrong with it."""
+        """Decode a JSON body; return a refusal with the error if it is not valid."""
         try:
             return Ok(msgspec.json.decode(body, type=cls))
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
-            return Error(Refusal(Reason.BAD_REQUEST, f"the body: {exc}"))
+            return Error(Refusal(Reason.BAD_REQUEST, f"invalid request body: {exc}"))
 
     @property
     def content_bytes(self) -> int:
-        """Bytes of all contents: an upper bound of their tokens."""
+        """Size of all message contents in bytes, an upper bound of their tokens."""
         return sum(len(m.content.encode()) for m in self.messages)
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_chat_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_chat_runner.py
@@ -1,4 +1,10 @@
-"""Runs chat turns at the holder of their program."""
+"""Runs chat turns at the host that holds the slot of their program.
+
+The turns of a program run one after another, in the order of their arrival; each is
+committed to the platform. A call without a program runs alone and stores nothing. While
+the platform is unavailable, turns with a durable history are refused before they reach
+an engine, and turns whose caller keeps the history run without being stored.
+"""
 
 import time
 from collections.abc import Callable
@@ -22,7 +28,7 @@
 
 
 class ChatRunner:
-    """Turns of programs, and single calls.
+    """Runs the turns of programs, and chat calls without a program.
 
     Parameters
     ----------
@@ -30,7 +36,7 @@
     book : ProgramBook
     generator : Generator
     platform_available : callable
-        Returns whether the platform answered the last call to it.
+        Returns whether the platform answered the last request sent to it.
     recorder : Recorder
     """
 
@@ -49,7 +55,7 @@
         self.platform_available = platform_available
 
     def run(self, context: CallContext, running: RunningCall, traceparent: str) -> None:
-        """Run one call and append its events, the last one final."""
+        """Run a call and append its events; the last one is `Finished` or `Failed`."""
         body = ChatBody.from_bytes(context.call.body)
         if body.is_error():
             running.append(Failed(body.error))
@@ -79,7 +85,7 @@
     ) -> Finished | Failed:
         if not self.platform_available():
             if context.profile.history is HistoryMode.DURABLE:
-                # Found out after the engine had run, the turn would be lost work.
+                # A failed commit after generation would waste the work of the engine.
                 return Failed(platform_refusal())
             return self._run_without_platform(context, body, running, traceparent)
         epoch = self.membership.epoch(SlotKind.PROGRAM, context.call.placement_key)
@@ -108,7 +114,10 @@
         running: RunningCall,
         traceparent: str,
     ) -> Finished | Failed:
-        """Run a call without rows: a single one, or one during an outage."""
+        """Generate an answer without reading or writing rows of the program.
+
+        Used for calls without a program and during an outage of the platform.
+        """
         prompt = Prompt(
             messages=body.messages,
             max_tokens=self._max_tokens(context, body),
@@ -126,15 +135,18 @@
         running: RunningCall,
         traceparent: str,
     ) -> Finished | Failed:
-        """Run a turn whose caller holds the history while the platform is away.
+        """Run a turn while the platform is unavailable.
 
-        Nothing can be lost. Its tokens count against the budget as far as this host
-        knows it; they are settled with the next commit.
+        The caller keeps the history, so no data can be lost. The tokens are checked
+        against the budget as last known at this host, and charged with the next
+        commit.
         """
         call = context.call
         tokens = self._max_tokens(context, body) + body.content_bytes
         if not self._within_budget(context, tokens):
-            return Failed(Refusal(Reason.BUDGET, "the program's budget is used up"))
+            return Failed(
+                Refusal(Reason.BUDGET, "the token budget of the program is used up")
+            )
         outcome = self._run_stateless(context, body, running, traceparent)
         if isinstance(outcome, Finished):
             used = outcome.completion_tokens + body.content_bytes
@@ -194,9 +206,9 @@
 
 
 def program_busy_refusal() -> Refusal:
-    """Return the refusal of a call that waited too long for its turn."""
+    """Return the refusal of a call whose deadline passed behind an earlier call."""
     return Refusal(
         Reason.DEADLINE,
-        "an earlier call of the program took all the time of this one",
+        "deadline passed while an earlier call of the program was running",
         retry_after_seconds=1.0,
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_crash_detector.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_crash_detector.py
@@ -1,4 +1,10 @@
-"""Finding out whether a target died under a request."""
+"""Decides whether an engine crashed while it processed a request.
+
+After a connection broke, the engine's load report is read up to 3 times. Another
+incarnation in the report, or no report at all, means that the engine crashed; the
+request's fingerprint is then reported as a strike against the request. The same
+incarnation means that only the connection broke.
+"""
 
 import threading
 import time
@@ -13,7 +19,7 @@
 
 
 class CrashDetector:
-    """Looks at a target after a connection to it broke.
+    """Probes a target after a connection to it broke.
 
     Parameters
     ----------
@@ -28,9 +34,10 @@
         self._lock = threading.Lock()
 
     def query_incarnation(self, target: Target) -> str:
-        """Return the engine's present incarnation, or an empty string.
+        """Return the engine's current incarnation, or an empty string if it is silent.
 
-        A request that broke while the target answered nothing is judged now.
+        Also classifies earlier broken requests for which the target had not answered,
+        and reports those that ran during a crash.
         """
         load = self.engines.load(target)
         if load is None:
@@ -41,10 +48,11 @@
     def report_if_crashed(
         self, target: Target, fingerprint: str, incarnation: str
     ) -> bool:
-        """Report a strike if the target died; return whether it did.
+        """Report a strike if the target crashed; return whether it did.
 
-        A cut leaves the incarnation as it was. A target that answers under another
-        one, or that answers nothing at all several times in a row, has died.
+        A lost connection alone leaves the incarnation unchanged. A target that answers
+        with another incarnation, or that does not answer `N_PROBES` times in a row, has
+        crashed.
         """
         with self._lock:
             watch = self._classifiers.setdefault(
@@ -56,12 +64,12 @@
             seen = self.query_incarnation(target)
             if seen:
                 return seen != incarnation
-        # Told again when the target is back; the same crash counts once.
+        # Reported again once the target answers; the same crash is counted once.
         self.strikes.report(Strike(fingerprint, target.name, incarnation))
         return True
 
     def _report_strikes(self, target: Target, incarnation: str) -> None:
-        """Report the strikes of all requests that broke before this answer."""
+        """Report a strike for each request that broke in an earlier incarnation."""
         with self._lock:
             watch = self._classifiers.get(target.name)
             found = watch.classify(incarnation) if watch else ()
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_generator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_generator.py
@@ -1,4 +1,10 @@
-"""Gets a whole answer from an engine, and from another if one fails."""
+"""Generates the answer to a prompt on a model engine.
+
+A target is chosen and the call admitted to its queue; the text is then streamed to the
+caller. If the target fails, the prompt is sent to another one within the retry budgets
+and the deadline of the call. Prompts whose fingerprint is known to crash engines are
+refused.
+"""
 
 import logging
 import time
@@ -26,7 +32,7 @@
 
 
 class Generator:
-    """Turns a prompt into text.
+    """Runs prompts on engines, with retries on other engines.
 
     Parameters
     ----------
@@ -38,7 +44,7 @@
     telemetry : Telemetry
     loader : ModelLoader
     estimates : ProfileEstimates
-        What programs of each profile usually need.
+        Expected output tokens, context tokens and program duration by profile.
     """
 
     def __init__(
@@ -68,10 +74,10 @@
         running: RunningCall,
         traceparent: str,
     ) -> Result[GeneratedAnswer, Refusal]:
-        """Run a prompt, passing its text on as it comes.
+        """Run a prompt and append its text to `running` as it arrives.
 
-        Generating has no effect but the text, so a failed try is repeated within the
-        retry budgets.
+        Generation has no side effects, so a failed attempt is repeated within the retry
+        budgets. `Reset` tells the reader to discard the text of the failed attempt.
         """
         call = context.call
         avoid: frozenset[str] = frozenset()
@@ -113,9 +119,10 @@
     def fingerprint(self, context: CallContext, messages: tuple[Message, ...]) -> str:
         """Return the fingerprint of a prompt.
 
-        The whole prompt, without ids: the same request under another program id or
-        through another host has the same fingerprint, and a short message that many
-        programs send doesn't share one.
+        It covers the customer, the model and all messages, but no ids: the same request
+        under another program id or through another host has the same fingerprint, and
+        programs with different histories that send the same short message have
+        different ones.
         """
         document = {"messages": [(m.role, m.content) for m in messages]}
         kind = f"{context.call.customer}/{context.profile.model}"
@@ -180,9 +187,9 @@
     def _import_cache(
         self, context: CallContext, prompt: Prompt, placement: Placement
     ) -> None:
-        """Give the engine a cache that was exported during a pause.
+        """Order the engine to import the program's cache, exported during a pause.
 
-        If it fails the engine computes the prompt anew.
+        If the import fails, the engine computes the whole prompt again.
         """
         if prompt.exported_cache is None:
             return
@@ -223,7 +230,9 @@
             pieces.append(event.text)
             running.append(Content(event.text))
         raise TargetFailure(
-            Reason.TARGET_FAILED, "the stream ended early", Verdict.MAY_HAVE_RUN
+            Reason.TARGET_FAILED,
+            "stream of the engine ended before the answer was complete",
+            Verdict.MAY_HAVE_RUN,
         )
 
     def _record_success(
@@ -285,7 +294,7 @@
 
 
 class _TokenTimer:
-    """When the tokens of one stream came."""
+    """Measures time to first token and longest gap of one stream, in seconds."""
 
     def __init__(self) -> None:
         self.sent_at = time.monotonic()
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
@@ -1,4 +1,10 @@
-"""A call that may not be repeated, from its intent to its outcome."""
+"""Runs a service call that may run at most once.
+
+An intent row is written to the journal on the platform before the call is sent, and the
+outcome afterwards. A repeated call with the same idempotency key finds the row and gets
+the stored answer instead of running again. The state machine in
+`swifttide_core.intents` decides each step; this module executes its actions.
+"""
 
 import threading
 import time
@@ -48,30 +54,29 @@
 
 INTENTS_TABLE = "intents"
 JOURNAL_TIMEOUT_SECONDS = 10.0
-"""How long a call waits for the journal before it is refused."""
+"""Time to retry writing the intent before the call is refused."""
 
 JOURNAL_RETRY_SECONDS = 0.5
 MAX_JOURNAL_RETRY_SECONDS = 10.0
 OUTCOME_RETRY_LIMIT_SECONDS = 3600.0
-"""How long an outcome is offered to a platform that is down."""
-
+"""Time to retry writing an outcome while the platform is unavailable."""
 
 BODY_CODEC = "latin-1"
-"""Stores any bytes in a JSON string without loss."""
+"""Maps each byte to one character, so any body fits in a JSON string."""
 
 
 class JournaledCall:
-    """One call that may not be repeated, driven through the core's machine.
+    """Executes the actions of the state machine for one non-repeatable call.
 
     Parameters
     ----------
     sender : ServiceSender
     retries : RetryBudgets
     platform : PlatformClient
-        Keeps the journal.
+        Stores the journal.
     recorder : Recorder
     unrecorded : UnrecordedCalls
-        Counts answers that the journal doesn't have yet.
+        Counts outcomes that are not in the journal yet.
     context : CallContext
     running : RunningCall
     traceparent : str
@@ -100,7 +105,7 @@
         self.caller_answered = False
 
     def run(self) -> None:
-        """Take the call to its end; the caller is answered as soon as it is known."""
+        """Run the call; the caller gets the answer before the outcome is stored."""
         wanted = _new_intent(self.context.call)
         step = start_call(wanted)
         self.recorded = self.recorder.start(CALL, (wanted,), step.actions)
@@ -109,8 +114,8 @@
         while actions:
             action = actions.pop(0)
             if isinstance(action, WriteRow) and self.caller_answered:
-                # The caller has its answer; the journal gets the outcome when the
-                # platform is back, and the program goes on meanwhile.
+                # The caller has its answer. The outcome is written in the background,
+                # so an outage of the platform does not block the program.
                 self._write_in_background(state, action)
                 return
             event = self._execute(action)
@@ -174,7 +179,7 @@
         return RowConflict()
 
     def _dispatch(self) -> CallEvent:
-        """Send once; only what proves that no byte left allows another target."""
+        """Send the call; try another target only if nothing was sent to the first."""
         avoid: frozenset[str] = frozenset()
         n_attempts = 0
         while True:
@@ -269,6 +274,6 @@
 def _journal_unavailable() -> Refusal:
     return Refusal(
         Reason.PLATFORM_UNAVAILABLE,
-        "the journal can't be written, so the call wasn't sent",
+        "call not sent: its intent could not be written to the journal",
         retry_after_seconds=2.0,
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_model_loader.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_model_loader.py
@@ -1,8 +1,8 @@
-"""Orders to load models that operators say an engine serves.
+"""Orders engines to load the models that their documents say they serve.
 
-An engine that was restarted has forgotten what it had loaded, and one whose document
-was edited hasn't loaded the new model yet. Both refuse each call until somebody tells
-them; nobody is awake to do so.
+An engine that was restarted has no model loaded, and an engine whose document was
+edited has not loaded the new model yet. Both refuse every call until they are ordered
+to load the model; without this module an operator would have to do so.
 """
 
 import logging
@@ -16,14 +16,14 @@
 
 
 class ModelLoader:
-    """Orders each missing model once at a time.
+    """Orders missing models in the background, one order per target and model.
 
     Parameters
     ----------
     engines : EngineClient
     fencing : callable
-        Returns the configuration's version: an engine that checks it refuses an
-        order of a host that doesn't know the newest edit.
+        Returns the version of the configuration as fencing token. An engine that
+        checks it refuses an order from a host with an outdated configuration.
     """
 
     def __init__(self, engines: EngineClient, fencing: Callable[[], int]) -> None:
@@ -33,10 +33,10 @@
         self._lock = threading.Lock()
 
     def load_in_background(self, target: Target, model: str) -> None:
-        """Order a model in the background, unless this host is doing so already.
+        """Order a model in the background, unless such an order is already running.
 
-        Loading takes long; the call that found it missing goes elsewhere or is
-        refused with when to come back.
+        Loading takes long, so the call that needs the model does not wait: it goes to
+        another target or is refused with a retry time.
         """
         order = (target.name, model)
         with self._lock:
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_placement.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_placement.py
@@ -1,4 +1,10 @@
-"""A target that a call was admitted to."""
+"""Chooses a target for a call and gets the call admitted to the target's queue.
+
+Inputs are the demand of the call, the views of the targets (load, circuit breaker,
+cached prefixes) and the answer of the host that keeps the target's queue. If a target
+refuses and another one may take the call, the next choice is asked, up to
+`MAX_TARGETS_TRIED` targets.
+"""
 
 import time
 from collections.abc import Callable
@@ -24,27 +30,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What a call needs of a target.
+    """Requirements and expected cost of a call.
 
     Parameters
     ----------
     serves : str
-        Model or service.
+        Name of the model or service that the target must serve.
     prompt_tokens : int
     expected_tokens : float
-        Tokens that the target will compute.
+        Expected cost of the call, in tokens that the target computes.
     attained_tokens : float
-        Cost that the program was served so far.
+        Cost served to the program so far, in the same unit.
     context_tokens : float
-        Length of the history after the call.
+        Tokens of the history after the call.
     expected_context_tokens : float
-        Length that it is expected to reach.
+        Tokens that the history is expected to reach.
     expected_remaining_seconds : float
-        Time until the program's expected end; 0 when unknown.
+        Seconds until the expected end of the program; 0 when unknown.
     new_history : bool
-        Whether it is the first call of a sub-agent.
+        Whether this is the first call of a sub-agent, which has no cached history.
     prefixes : tuple of CachedPrefix
-        Targets that may hold its cache.
+        Targets that may hold cached history of the program.
     """
 
     serves: str
@@ -60,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """An admitted call; exactly one of the methods of `Placer` ends it."""
+    """An admitted call; ended by exactly one of `Placer.finish` and `Placer.cancel`."""
 
     target: Target
     ticket_id: str
@@ -69,7 +75,7 @@
 
 
 class Placer:
-    """Chooses targets and gets calls admitted there.
+    """Chooses targets for calls and acquires admission to their queues.
 
     Parameters
     ----------
@@ -78,7 +84,7 @@
     zone : str
         Zone of this host.
     on_admit : callable
-        Called with customer, target and queued seconds.
+        Called with the customer, the target and the time in the queue in seconds.
     """
 
     def __init__(
@@ -100,16 +106,18 @@
         ticket_id: str,
         avoid: frozenset[str],
     ) -> Result[Placement, Refusal]:
-        """Wait for a target; the first final refusal without another way is returned.
+        """Wait until a target admits the call, or return a refusal.
+
+        A refusal that other targets would repeat is returned at once.
 
         Parameters
         ----------
         context : CallContext
         demand : Demand
         ticket_id : str
-            Unique for each try of the call.
+            Unique for each attempt of the call.
         avoid : frozenset of str
-            Targets on which this call failed.
+            Targets that failed this call in earlier attempts.
         """
         refusal: Refusal | None = None
         for _ in range(MAX_TARGETS_TRIED):
@@ -133,15 +141,17 @@
             if not elsewhere:
                 return Error(refusal)
             avoid |= {target.name}
-        return Error(refusal or Refusal(Reason.NO_TARGET, "no target took the call"))
+        return Error(
+            refusal or Refusal(Reason.NO_TARGET, "no target admitted the call")
+        )
 
     def finish(self, placement: Placement, outcome: Outcome, ok: bool) -> None:
-        """End an admitted call that was sent."""
+        """Record the outcome of a call that was sent, and release its admission."""
         self.board.report(placement.target.name, placement.breaker_permit, ok)
         self._release(placement, outcome)
 
     def cancel(self, placement: Placement) -> None:
-        """End an admitted call that was not sent."""
+        """Release the admission of a call that was not sent."""
         self.board.withdraw(placement.target.name, placement.breaker_permit)
         self._release(placement, Outcome(OutcomeStatus.NOT_SENT))
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_prompt.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_prompt.py
@@ -1,4 +1,4 @@
-"""What an engine is asked for."""
+"""Input and output of one generation on an engine."""
 
 from dataclasses import dataclass
 
@@ -8,29 +8,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """One generation.
+    """A prompt, and what scheduling and caching need to know of its program.
 
     Parameters
     ----------
     messages : tuple of Message
-        The whole prompt.
+        All messages of the prompt, oldest first.
     max_tokens : int
     fingerprint : str
-        By which the request is known if it crashes targets.
+        Hash that identifies the request if it crashes targets.
     attained_cost : float
-        Cost that the root program and its sub-agents were served so far, in the
-        queue's units.
+        Cost served so far to the root program and its sub-agents, in the tokens of
+        `call_cost`.
     new_history : bool
-        Whether it is the first call of a sub-agent.
+        Whether this is the first call of a sub-agent, which has no cached history.
     history_tokens : int
         Tokens of the history before the new messages.
     cache_targets : tuple of str
-        Engines that may hold the history's cache.
+        Engines that may hold the cache of the history.
     exported_cache : tuple of (str, int) or None
-        Object that holds the history's cache, and its tokens.
+        Name of the object with the exported cache of the history, and its tokens.
     fencing_token : int
-        Version of the program's row: an engine that checks it refuses a holder that
-        was paused while another went on.
+        Version of the program's row. An engine that checks it refuses requests of a
+        holder that was paused while another host took the program over.
     """
 
     messages: tuple[Message, ...]
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GeneratedAnswer:
-    """A whole answer of an engine."""
+    """A complete answer of an engine."""
 
     text: str
     prompt_tokens: int
@@ -56,11 +56,11 @@
 
     @property
     def cost(self) -> float:
-        """Cost of the answer, in the queue's units."""
+        """Cost of the answer, in the tokens of `call_cost`."""
         uncached = self.prompt_tokens - self.cached_tokens
         return call_cost(uncached, self.completion_tokens)
 
     @property
     def total_tokens(self) -> int:
-        """Tokens of the history with this answer."""
+        """Tokens of the history including this answer."""
         return self.prompt_tokens + self.completion_tokens
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_retry_budgets.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_retry_budgets.py
@@ -1,4 +1,8 @@
-"""Retry budgets of targets and customers at this host."""
+"""Limits retries with one budget per target and one per customer.
+
+First attempts add to the budgets of their target and customer, retries take from them.
+The budgets are local to this host and held in memory.
+"""
 
 import random
 import threading
@@ -11,7 +15,7 @@
 
 
 class RetryBudgets:
-    """Budgets by name, and the decision whether a call is tried again.
+    """Keeps the budgets and decides whether a failed call is sent again.
 
     Parameters
     ----------
@@ -25,11 +29,11 @@
 
     @classmethod
     def from_rng(cls, rng: random.Random) -> "RetryBudgets":
-        """Return an account whose pauses are drawn from `rng`."""
+        """Return budgets whose backoff delays are drawn from `rng`."""
         return cls(Backoff(rng))
 
     def record_first_attempt(self, target: str, customer: str) -> None:
-        """Count a call that is sent for the first time."""
+        """Add the first attempt of a call to the budgets of its target and customer."""
         now = time.monotonic()
         with self._lock:
             for budget in self._budgets_of(target, customer, now):
@@ -44,7 +48,7 @@
         target: str,
         customer: str,
     ) -> Retry | GiveUp:
-        """Decide what follows a try that failed; see `decide_retry`."""
+        """Return the retry with its delay, or `GiveUp`; see `decide_retry`."""
         now = time.monotonic()
         with self._lock:
             return decide_retry(
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_runner.py
@@ -1,4 +1,9 @@
-"""Runs calls of plain services at the holder of their program."""
+"""Runs calls of plain services at the host that holds the slot of their program.
+
+Calls of a program run one after another. The profile says which calls may run at most
+once: those are journaled. All others are sent again after a failure, within the retry
+budgets.
+"""
 
 import time
 
@@ -21,28 +26,28 @@
 
 
 def must_not_repeat(profile: Profile, call: Call) -> bool:
-    """Return whether the profile says that a call may run at most once."""
+    """Return whether the profile allows a call to run at most once."""
     place = f"{call.service}/{call.path}"
     return any(place.startswith(prefix) for prefix in profile.never_repeat)
 
 
 class ServiceRunner:
-    """Calls of plain services, journaled where they may not be repeated.
+    """Runs service calls, with a journal for those that may run at most once.
 
     Parameters
     ----------
     book : ProgramBook
-        Orders the calls of a program.
+        Provides the lock that runs the calls of a program in order.
     sender : ServiceSender
     retries : RetryBudgets
     platform : PlatformClient
-        Keeps the journal.
+        Stores the journal.
     recorder : Recorder
 
     Attributes
     ----------
     unrecorded : UnrecordedCalls
-        Answers that the journal doesn't have yet.
+        Counts outcomes that are not in the journal yet.
     """
 
     def __init__(
@@ -61,7 +66,7 @@
         self.unrecorded = UnrecordedCalls()
 
     def run(self, context: CallContext, running: RunningCall, traceparent: str) -> None:
-        """Run one call and append its events, the last one final."""
+        """Run a call and append its events; the last one is `Finished` or `Failed`."""
         order = None
         if context.call.program:
             refusal = self.book.count_call(context.call, context.profile)
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_sender.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_sender.py
@@ -1,4 +1,4 @@
-"""Sends calls of plain services to their targets."""
+"""Sends a service call to one target and reports the outcome to its queue."""
 
 from expression import Error, Ok, Result
 
@@ -12,7 +12,7 @@
 
 
 class ServiceSender:
-    """Finds a target for a call and sends it there, once.
+    """Gets a call admitted at a target and sends it there once, without retries.
 
     Parameters
     ----------
@@ -37,20 +37,20 @@
         avoid: frozenset[str],
         reuse_connection: bool,
     ) -> Result[ServiceAnswer, tuple[Refusal, str]]:
-        """Send a call to one target, once.
+        """Send a call once.
 
         Returns
         -------
         Result
-            The answer, or the refusal and the target that it failed on (empty when
-            it was never placed).
+            The answer, or the refusal and the name of the target that failed. The name
+            is empty if the call was not sent to any target.
         """
         demand = Demand(serves=context.call.service)
         placed = self.placer.place(context, demand, ticket_id, avoid)
         if placed.is_error():
             return Error((placed.error, ""))
         placement = placed.ok
-        # Time has passed in the queue, and this is the last moment before dispatch.
+        # The deadline may have passed, or the key been withdrawn, while queued.
         refusal = context.refusal()
         if refusal is not None:
             self.placer.cancel(placement)
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
@@ -1,4 +1,11 @@
-"""One turn of a program, driven through the core's machine."""
+"""Runs one turn of a program.
+
+The state machine in `swifttide_core.programs` decides the steps of a turn: read the
+program's rows, reserve budget, generate the answer, store it and commit. This module
+executes these actions and reports their results to the machine. If the platform is
+unavailable, an action is retried every `STORE_RETRY_SECONDS`, until
+`STORE_TIMEOUT_SECONDS` or the deadline of the call have passed.
+"""
 
 import time
 from dataclasses import replace
@@ -47,11 +54,11 @@
 
 STORE_RETRY_SECONDS = 0.2
 STORE_TIMEOUT_SECONDS = 15.0
-"""How long a turn that was generated waits for the platform to take it."""
+"""Time to retry reads and writes of a turn while the platform is unavailable."""
 
 
 class TurnRunner:
-    """Does what the machine asks for and tells it what came of it.
+    """Executes the actions of the state machine for one turn.
 
     Parameters
     ----------
@@ -60,9 +67,9 @@
     context : CallContext
     body : ChatBody
     entry : ProgramEntry
-        Its order lock is held.
+        The caller holds its `order` lock.
     turn : Turn
-        As given to the machine.
+        Input of the state machine.
     max_tokens : int
     running : RunningCall
     traceparent : str
@@ -98,7 +105,7 @@
         self.store_deadline = float("inf")
 
     def run(self) -> Finished | Failed:
-        """Take the turn to its end."""
+        """Run the turn and return its final event."""
         known = self.book.known_rows(self.context.call, self.turn.row_keys)
         step = start_turn(self.turn, known)
         run = self.recorder.start(TURN, (self.turn, known), step.actions)
@@ -144,7 +151,7 @@
                 return TurnGivenUp(refusal)
         outcome = self.book.store.write_rows(action.rows, action.transaction)
         if outcome.is_error():
-            # Whether it took effect is unknown; rows in memory may be old.
+            # It is unknown whether the write took effect; cached rows may be outdated.
             self.book.forget_rows(self.context.call)
             return self._store_failed()
         if not isinstance(outcome.ok, Committed):
@@ -155,7 +162,7 @@
         return RowsWritten(versions)
 
     def _store_failed(self) -> TurnEvent:
-        """Tell the machine that the platform is away, after a pause, or give up."""
+        """Return `StoreFailed` after a pause, or `TurnGivenUp` after the time limit."""
         now = time.monotonic()
         self.store_deadline = min(self.store_deadline, now + STORE_TIMEOUT_SECONDS)
         if now >= min(self.store_deadline, self.context.deadline):
@@ -248,7 +255,7 @@
 
     def _refuse(self, refusal: Refusal) -> Failed:
         if refusal.verdict is Verdict.NOT_RUN:
-            # Nothing used the reservation of an earlier commit.
+            # The tokens that an earlier commit reserved were not used.
             ahead = Ahead(self.turn.ahead, self.turn.ahead_term)
             self.book.leave_ahead(self.context.call, ahead)
         if (
@@ -260,7 +267,7 @@
 
 
 def finished_event(number: int, made: GeneratedAnswer) -> Finished:
-    """Return the final event of a turn."""
+    """Return the final event of a turn that was generated."""
     return Finished(
         status=200,
         body=made.text.encode(),
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_unrecorded_calls.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_unrecorded_calls.py
@@ -1,13 +1,14 @@
-"""Answers of non-repeatable calls that the journal doesn't have yet."""
+"""Counts outcomes of non-repeatable calls that are not in the journal yet."""
 
 import threading
 
 
 class UnrecordedCalls:
-    """Counts outcomes that wait for the platform.
+    """Counter of outcomes that are held in memory until the platform stores them.
 
-    A host that stops with one of them in memory alone turns a known answer into
-    ``may_have_run`` for whoever sends the same key again.
+    If the host stops before an outcome is stored, the answer is lost, and a repeated
+    call with the same idempotency key gets the verdict ``may_have_run``. A stopping
+    host therefore waits until no outcome is left, for a limited time.
     """
 
     def __init__(self) -> None:
@@ -15,16 +16,16 @@
         self._lock = threading.Lock()
 
     def increment(self) -> None:
-        """Count an outcome that waits."""
+        """Add an outcome that is not stored yet."""
         with self._lock:
             self._n_outcomes += 1
 
     def decrement(self) -> None:
-        """Count an outcome that is written, or given up."""
+        """Remove an outcome that was stored or given up."""
         with self._lock:
             self._n_outcomes -= 1
 
     def count(self) -> int:
-        """Return how many outcomes wait."""
+        """Return the number of outcomes that are not stored yet."""
         with self._lock:
             return self._n_outcomes
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/tests/test_crash_detector.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/tests/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""Whether a target died under a request, or only its connection broke."""
+"""Tests for telling a crash of an engine from a broken connection."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 class FakeEngineClient:
-    """Answers load reports under the given incarnations, None for no answer."""
+    """Returns load reports with the given incarnations, None for no answer."""
 
     def __init__(self, *incarnations):
         self.incarnations = list(incarnations)
@@ -40,7 +40,10 @@
 
 class TestCrashDetector:
     def test_same_incarnation_is_no_crash(self):
-        """A link flaps. Healthy requests would collect strikes and be refused."""
+        """Guards against strikes for harmless requests, which would be refused.
+
+        The connection breaks while the engine keeps running.
+        """
         found = make_detector("one")
         assert not found.report_if_crashed(TARGET, "f", "one")
         assert found.strikes.reported == []
@@ -51,15 +54,17 @@
         assert found.strikes.reported == [Strike("f", "e", "one")]
 
     def test_target_without_answer_is_a_crash(self):
-        """The request took the engine down for good. Taken for a cut, it would go on
-        to the next engine, and the next.
+        """Guards against a request that crashes one engine after another.
+
+        The engine does not come back; if that passed for a broken connection, the
+        request would be sent to the next engine.
         """
         found = make_detector(None, None, None)
         assert found.report_if_crashed(TARGET, "f", "one")
         assert found.strikes.reported == [Strike("f", "e", "one")]
 
     def test_concurrent_broken_request_is_reported_at_next_answer(self):
-        """Two requests broke with one engine; the second found nothing out itself."""
+        """Guards against a lost strike when probes after a crash get no answer."""
         found = make_detector(None, None, None, "two")
         found.report_if_crashed(TARGET, "f", "one")
         found.query_incarnation(TARGET)
