--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_held_share.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_local_share.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class HeldShare:
+class LocalShare:
     """Bucket and row, and when to look at them again.
 
     Parameters
@@ -21,11 +21,11 @@
     """
 
     epoch: int
-    keeper: ZoneShareManager
-    plan_at: float = 0.0
-    offered: bool = False
+    manager: ZoneShareManager
+    next_plan_at: float = 0.0
+    has_offer: bool = False
 
     @property
     def share(self) -> CustomerShare:
         """The bucket."""
-        return self.keeper.share
+        return self.manager.share
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_rate_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_rate_limiter.py
@@ -22,9 +22,9 @@
 from swifttide_daemon.membership import MembershipService
 from swifttide_daemon.peers import PeerClient
 
-RETURN_SECONDS = 0.1
-MOVE_SECONDS = 2.0
-MOVE_PAUSE_SECONDS = 0.25
+RETURN_INTERVAL_SECONDS = 0.1
+MAX_TAKEOVER_SECONDS = 2.0
+TAKEOVER_RETRY_SECONDS = 0.25
 
 
 class RateLimiter:
@@ -44,12 +44,12 @@
         self.membership = membership
         self.peers = peers
         self.shares = shares
-        self._allowance: EntryRateLimiter | None = None
+        self._entry_limiter: EntryRateLimiter | None = None
         self._incarnation = ""
         self._zones: tuple[str, ...] = ()
         self._lock = threading.Lock()
         self._stop = threading.Event()
-        self._thread = threading.Thread(target=self._run, daemon=True)
+        self._thread = threading.Thread(target=self._return_unused, daemon=True)
 
     def start(self) -> None:
         """Give back unused tokens from now on."""
@@ -64,60 +64,62 @@
 
         While the customer's slot moves to another host nobody counts its rate. A
         refusal then would be a wrongful one, and a planned move takes less than
-        `MOVE_SECONDS`.
+        `MAX_TAKEOVER_SECONDS`.
         """
-        ends_at = time.monotonic() + MOVE_SECONDS
+        ends_at = time.monotonic() + MAX_TAKEOVER_SECONDS
         while True:
-            refusal = self._try(customer)
+            refusal = self._admit_once(customer)
             uncounted = refusal is not None and refusal.reason is Reason.NOT_HOLDER
             if not uncounted or time.monotonic() >= ends_at:
                 return refusal
-            time.sleep(MOVE_PAUSE_SECONDS)
+            time.sleep(TAKEOVER_RETRY_SECONDS)
 
-    def _try(self, customer: Customer) -> Refusal | None:
+    def _admit_once(self, customer: Customer) -> Refusal | None:
         with self._lock:
-            allowance = self._current()
-            answer = allowance.admit(time.monotonic(), customer)
+            entry_limiter = self._current_limiter()
+            answer = entry_limiter.admit(time.monotonic(), customer)
         while isinstance(answer, DrawOrder):
             drawn = self._draw(answer)
             with self._lock:
-                settled = allowance.settle(time.monotonic(), answer.draw_id, drawn)
-            answer = settled if settled is not None else RateRefused(RETURN_SECONDS)
+                settled = entry_limiter.settle(time.monotonic(), answer.draw_id, drawn)
+            answer = (
+                settled if settled is not None else RateRefused(RETURN_INTERVAL_SECONDS)
+            )
         if isinstance(answer, RateAdmitted):
             return None
         return _refusal(answer)
 
-    def _current(self) -> EntryRateLimiter:
-        """Return the allowance, a new one after this host lost its lease."""
+    def _current_limiter(self) -> EntryRateLimiter:
+        """Return the entry_limiter, a new one after this host lost its lease."""
         me = self.membership.me
         zones = (me.zone, *(z for z in self.membership.zones() if z != me.zone))
-        if self._allowance is None or self._incarnation != me.incarnation:
+        if self._entry_limiter is None or self._incarnation != me.incarnation:
             self._incarnation = me.incarnation
-            self._allowance = EntryRateLimiter(self._entry_host(), zones)
-        self._allowance.zones = zones
-        return self._allowance
+            self._entry_limiter = EntryRateLimiter(self._entry_host_id(), zones)
+        self._entry_limiter.zones = zones
+        return self._entry_limiter
 
-    def _entry_host(self) -> str:
+    def _entry_host_id(self) -> str:
         me = self.membership.me
         return f"{me.host}-{me.incarnation}"
 
-    def _draw(self, need: DrawOrder) -> Batch | RateRefused | DrawFailed:
+    def _draw(self, order: DrawOrder) -> Batch | RateRefused | DrawFailed:
         req = DrawRequest(
-            entry_host=self._entry_host(),
+            entry_host=self._entry_host_id(),
             entry_zone=self.membership.me.zone,
-            draw_id=need.draw_id,
-            wanted=need.wanted,
-            partial=need.partial,
-            spend_seconds=need.spend_seconds,
-            returned=need.returned,
+            draw_id=order.draw_id,
+            wanted=order.wanted,
+            partial=order.partial,
+            spend_seconds=order.spend_seconds,
+            returned=order.returned,
         )
-        holder = self.membership.holder(SlotKind.CUSTOMER, need.customer, need.zone)
+        holder = self.membership.holder(SlotKind.CUSTOMER, order.customer, order.zone)
         if holder is None:
             return DrawFailed()
         if holder.host == self.membership.me.host:
-            answer = self.shares.draw(need.customer, req)
+            answer = self.shares.draw(order.customer, req)
         else:
-            path = f"/peer/v1/customers/{need.customer}/draw"
+            path = f"/peer/v1/customers/{order.customer}/draw"
             sent = self.peers.call(holder.peer_url, "POST", path, req)
             answer = sent.map(lambda found: msgspec.convert(found, DrawAnswer))
         if answer.is_error():
@@ -126,21 +128,23 @@
             return DrawFailed()
         return answer.ok.batch or answer.ok.refused or DrawFailed()
 
-    def _run(self) -> None:
-        while not self._stop.wait(RETURN_SECONDS):
+    def _return_unused(self) -> None:
+        while not self._stop.wait(RETURN_INTERVAL_SECONDS):
             with self._lock:
-                allowance = self._allowance
-                orders = allowance.due_returns(time.monotonic()) if allowance else ()
+                entry_limiter = self._entry_limiter
+                orders = (
+                    entry_limiter.due_returns(time.monotonic()) if entry_limiter else ()
+                )
             for order in orders:
-                self._return(order)
+                self._return_batch(order)
 
-    def _return(self, order: ReturnOrder) -> None:
+    def _return_batch(self, order: ReturnOrder) -> None:
         holder = self.membership.holder(SlotKind.CUSTOMER, order.customer, order.zone)
         if holder is None:
             return
-        req = ReturnRequest(self._entry_host(), order.batch)
+        req = ReturnRequest(self._entry_host_id(), order.batch)
         if holder.host == self.membership.me.host:
-            self.shares.give_back(order.customer, req)
+            self.shares.return_batch(order.customer, req)
             return
         path = f"/peer/v1/customers/{order.customer}/return"
         self.peers.call(holder.peer_url, "POST", path, req)
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_mover.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_mover.py
@@ -7,15 +7,15 @@
 from swifttide_core.limits import ZoneShares
 from swifttide_core.slots import SlotKind
 from swifttide_daemon.configuration import ConfigService
-from swifttide_daemon.limits._held_share import HeldShare
+from swifttide_daemon.limits._local_share import LocalShare
 from swifttide_daemon.limits._share_rows import ShareRows
 from swifttide_daemon.limits._share_service import ShareService
 from swifttide_daemon.membership import MembershipService
 
 log = logging.getLogger(__name__)
 
-STEP_SECONDS = 0.5
-PLAN_SECONDS = 5.0
+STEP_INTERVAL_SECONDS = 0.5
+PLAN_INTERVAL_SECONDS = 5.0
 """Pause between thoughts about moving a part. They cost no read; the row is read
 only after a write or when another zone's holder says that it holds an offer: 7,900
 customers in 5 zones would be thousands of reads a second."""
@@ -55,42 +55,46 @@
         self._stop.set()
 
     def _run(self) -> None:
-        while not self._stop.wait(STEP_SECONDS):
-            for name, held in self.shares.held().items():
+        while not self._stop.wait(STEP_INTERVAL_SECONDS):
+            for name, local_share in self.shares.local_shares().items():
                 try:
-                    self._step(name, held)
+                    self._step(name, local_share)
                 except Exception:
                     # One odd row must not stop the moves of other customers.
                     log.exception("share step failed", extra={"customer": name})
 
-    def _step(self, name: str, held: HeldShare) -> None:
-        if self.membership.epoch(SlotKind.CUSTOMER, name) != held.epoch:
+    def _step(self, name: str, local_share: LocalShare) -> None:
+        if self.membership.epoch(SlotKind.CUSTOMER, name) != local_share.epoch:
             if self.membership.keeper.holds():
                 self.shares.drop(name)
             return
-        if held.offered:
-            held.offered = False
-            self._learn(name, held)
+        if local_share.has_offer:
+            local_share.has_offer = False
+            self._reload(name, local_share)
         now = time.monotonic()
-        if now < held.plan_at:
+        if now < local_share.next_plan_at:
             return
-        row = self.shares.next_write(held)
-        held.plan_at = now if held.keeper.has_pending_transfer else now + PLAN_SECONDS
+        row = self.shares.next_write(local_share)
+        local_share.next_plan_at = (
+            now
+            if local_share.manager.has_pending_transfer
+            else now + PLAN_INTERVAL_SECONDS
+        )
         if row is not None:
-            self._write(name, held, row)
+            self._write(name, local_share, row)
 
-    def _write(self, name: str, held: HeldShare, row: ZoneShares) -> None:
-        fence = self.membership.fence(SlotKind.CUSTOMER, name, held.epoch)
+    def _write(self, name: str, local_share: LocalShare, row: ZoneShares) -> None:
+        fence = self.membership.fence(SlotKind.CUSTOMER, name, local_share.epoch)
         if fence is not None:
-            self.rows.write(name, held.keeper.version, row, (fence,))
+            self.rows.write(name, local_share.manager.version, row, (fence,))
             # Only what the row says is used, whatever became of the write.
-            self._learn(name, held)
+            self._reload(name, local_share)
 
-    def _learn(self, name: str, held: HeldShare) -> None:
+    def _reload(self, name: str, local_share: LocalShare) -> None:
         customer = self.config.customer(name)
         if customer is None:
             return
         read = self.rows.read(customer)
         if read.is_ok():
-            self.shares.learn(held, read.ok)
-            held.plan_at = 0.0
+            self.shares.apply_row(local_share, read.ok)
+            local_share.next_plan_at = 0.0
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_rows.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_rows.py
@@ -15,8 +15,8 @@
     Write,
 )
 
-SHARES = "shares"
-HOSTS = "hosts"
+SHARES_TABLE = "shares"
+HOSTS_TABLE = "hosts"
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
 
     def read(self, customer: Customer) -> Result[StoredShares, PlatformError]:
         """Return a customer's division, making it at the first call of all."""
-        found = self.platform.read(SHARES, customer.name)
+        found = self.platform.read(SHARES_TABLE, customer.name)
         if found.is_error():
             return found
         if found.ok is not None:
@@ -77,8 +77,8 @@
             gives away a part that its successor has begun to use.
         """
         tx = Transaction(
-            (Check(SHARES, customer, version), *checks),
-            (Write(SHARES, customer, shares.to_row()),),
+            (Check(SHARES_TABLE, customer, version), *checks),
+            (Write(SHARES_TABLE, customer, shares.to_row()),),
         )
         outcome = self.platform.commit(tx)
         return outcome.is_ok() and isinstance(outcome.ok, Committed)
@@ -89,15 +89,15 @@
             return zones
         shares = ZoneShares.from_config(customer, zones.ok)
         if self.write(customer.name, 0, shares):
-            again = self.platform.read(SHARES, customer.name)
+            again = self.platform.read(SHARES_TABLE, customer.name)
             version = again.ok.version if again.is_ok() and again.ok else 0
             return Ok(StoredShares(shares, version, created=True))
-        found = self.platform.read(SHARES, customer.name)
+        found = self.platform.read(SHARES_TABLE, customer.name)
         if found.is_error() or found.ok is None:
             return Error(PlatformError("the shares can't be made"))
         shares = ZoneShares.from_row(found.ok.value)
         return Ok(StoredShares(shares, found.ok.version))
 
     def _zones(self) -> Result[list[str], PlatformError]:
-        rows = self.platform.scan(HOSTS)
+        rows = self.platform.scan(HOSTS_TABLE)
         return rows.map(lambda found: sorted({row.key.split("/")[0] for row in found}))
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_service.py
@@ -22,7 +22,7 @@
 from swifttide_core.slots import SlotKind
 from swifttide_core.verdicts import Reason, Refusal
 from swifttide_daemon.configuration import ConfigService
-from swifttide_daemon.limits._held_share import HeldShare
+from swifttide_daemon.limits._local_share import LocalShare
 from swifttide_daemon.limits._messages import (
     DrawAnswer,
     DrawRequest,
@@ -37,7 +37,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_HANDOVERS = 10_000
+MAX_PENDING_HANDOVERS = 10_000
 
 
 class ShareService:
@@ -62,10 +62,10 @@
         self.config = config
         self.rows = rows
         self.peers = peers
-        self._held: dict[str, HeldShare] = {}
-        self._handed: dict[str, tuple[HandoverRequest, float]] = {}
+        self._local_shares: dict[str, LocalShare] = {}
+        self._pending_handovers: dict[str, tuple[HandoverRequest, float]] = {}
         self._lock = threading.Lock()
-        config.listen(self._on_changes)
+        config.listen(self._on_config_changes)
         membership.on_moved(self._hand_over)
 
     @property
@@ -74,38 +74,40 @@
         me = self.membership.me
         return f"{me.host}-{me.incarnation}"
 
-    def held(self) -> dict[str, HeldShare]:
+    def local_shares(self) -> dict[str, LocalShare]:
         """Return the buckets that are kept here, by customer."""
         with self._lock:
-            return dict(self._held)
+            return dict(self._local_shares)
 
     def drop(self, customer: str) -> None:
         """Forget a bucket whose slot another host holds."""
         with self._lock:
-            self._held.pop(customer, None)
+            self._local_shares.pop(customer, None)
 
-    def next_write(self, held: HeldShare) -> ZoneShares | None:
+    def next_write(self, local_share: LocalShare) -> ZoneShares | None:
         """Return the row to write for a bucket, or None."""
         with self._lock:
-            return held.keeper.next_write(time.monotonic())
+            return local_share.manager.next_write(time.monotonic())
 
-    def learn(self, held: HeldShare, stored: StoredShares) -> None:
+    def apply_row(self, local_share: LocalShare, stored: StoredShares) -> None:
         """Put a row in force that was read."""
         with self._lock:
-            held.keeper.apply_row(time.monotonic(), stored.shares, stored.version)
+            local_share.manager.apply_row(
+                time.monotonic(), stored.shares, stored.version
+            )
 
     def draw(self, customer: str, req: DrawRequest) -> Result[DrawAnswer, Refusal]:
         """Lend tokens of a customer to an entry host."""
-        found = self._share(customer)
+        found = self._get_or_create_share(customer)
         if found.is_error():
             return found
-        held = found.ok
+        local_share = found.ok
         others = tuple(z for z in self.membership.zones() if z != self._zone)
         with self._lock:
             # Both clocks are read under the lock: a thread that was held up between
             # the check of the lease and the lending must not lend after its end.
             now = time.monotonic()
-            answer = held.share.draw(
+            answer = local_share.share.draw(
                 now,
                 req.entry_host,
                 req.wanted,
@@ -116,28 +118,32 @@
                 spend_seconds=req.spend_seconds,
                 returned=req.returned,
             )
-            pulls = held.share.next_pulls(now, self.holder_id, others)
-            moved = self._held.get(customer) is not held
+            pulls = local_share.share.next_pulls(now, self.holder_id, others)
+            moved = self._local_shares.get(customer) is not local_share
         if moved and isinstance(answer, RateRefused):
             # The bucket was handed over in the meantime. It refuses everything, which
             # says nothing of the customer's rate.
             return Error(not_holder("customer"))
         for pull in pulls:
             # The caller's request doesn't wait for another zone's answer.
-            args = (customer, held, pull)
-            threading.Thread(target=self._pull, args=args, daemon=True).start()
+            args = (customer, local_share, pull)
+            threading.Thread(target=self._send_pull, args=args, daemon=True).start()
         return Ok(DrawAnswer.from_core(answer))
 
-    def give_back(self, customer: str, req: ReturnRequest) -> None:
+    def return_batch(self, customer: str, req: ReturnRequest) -> None:
         """Take tokens back."""
         with self._lock:
-            held = self._held.get(customer)
-            if held is not None:
-                held.share.return_batch(time.monotonic(), req.entry_host, req.batch)
+            local_share = self._local_shares.get(customer)
+            if local_share is not None:
+                local_share.share.return_batch(
+                    time.monotonic(), req.entry_host, req.batch
+                )
 
-    def yield_to(self, customer: str, req: YieldRequest) -> Result[DrawAnswer, Refusal]:
+    def answer_pull(
+        self, customer: str, req: YieldRequest
+    ) -> Result[DrawAnswer, Refusal]:
         """Give another zone's holder a part of the level."""
-        found = self._share(customer)
+        found = self._get_or_create_share(customer)
         if found.is_error():
             return found
         with self._lock:
@@ -146,33 +152,33 @@
             answer = found.ok.share.answer_pull(
                 now, req.holder, req.pull, lease_ends_at, zone=req.zone
             )
-            offered = req.zone in found.ok.keeper.row.offers
+            offered = req.zone in found.ok.manager.row.offers
         return Ok(replace(DrawAnswer.from_core(answer), offered=offered))
 
-    def receive(self, handovers: list[HandoverRequest]) -> None:
+    def receive_handovers(self, handovers: list[HandoverRequest]) -> None:
         """Keep what a former holder passes on until the slot is claimed here."""
         now = time.monotonic()
         with self._lock:
-            if len(self._handed) > MAX_HANDOVERS:
-                self._handed.clear()
+            if len(self._pending_handovers) > MAX_PENDING_HANDOVERS:
+                self._pending_handovers.clear()
             for handover in handovers:
-                self._handed[handover.customer] = (handover, now)
+                self._pending_handovers[handover.customer] = (handover, now)
 
     @property
     def _zone(self) -> str:
         return self.membership.me.zone
 
-    def _share(self, customer: str) -> Result[HeldShare, Refusal]:
+    def _get_or_create_share(self, customer: str) -> Result[LocalShare, Refusal]:
         epoch = self.membership.epoch(SlotKind.CUSTOMER, customer)
         if epoch is None:
             return Error(not_holder("customer"))
         with self._lock:
-            held = self._held.get(customer)
-            if held is not None and held.epoch == epoch:
-                return Ok(held)
-        return self._take_over(customer, epoch)
+            local_share = self._local_shares.get(customer)
+            if local_share is not None and local_share.epoch == epoch:
+                return Ok(local_share)
+        return self._create_share(customer, epoch)
 
-    def _take_over(self, customer: str, epoch: int) -> Result[HeldShare, Refusal]:
+    def _create_share(self, customer: str, epoch: int) -> Result[LocalShare, Refusal]:
         document = self.config.customer(customer)
         if document is None:
             return Error(Refusal(Reason.NOT_FOUND, f"no customer {customer!r}"))
@@ -188,29 +194,29 @@
                 )
             )
         with self._lock:
-            held = self._held.get(customer)
-            if held is not None and held.epoch == epoch:
-                return Ok(held)
-            keeper = self._new_keeper(document, read.ok, epoch)
-            held = self._held[customer] = HeldShare(epoch, keeper)
-            return Ok(held)
+            local_share = self._local_shares.get(customer)
+            if local_share is not None and local_share.epoch == epoch:
+                return Ok(local_share)
+            manager = self._new_manager(document, read.ok, epoch)
+            local_share = self._local_shares[customer] = LocalShare(epoch, manager)
+            return Ok(local_share)
 
-    def _new_keeper(
+    def _new_manager(
         self, customer: Customer, stored: StoredShares, epoch: int
     ) -> ZoneShareManager:
         fraction = stored.shares.fraction(self._zone)
-        share = self._new_share(customer, fraction, epoch, stored.created)
+        share = self._new_bucket(customer, fraction, epoch, stored.created)
         zones = tuple(self.membership.zones())
         return ZoneShareManager(
             self._zone, zones, customer, stored.shares, stored.version, share
         )
 
-    def _new_share(
-        self, customer: Customer, fraction: float, epoch: int, never_served: bool
+    def _new_bucket(
+        self, customer: Customer, fraction: float, epoch: int, is_new_customer: bool
     ) -> CustomerShare:
-        handed = self._handed.pop(customer.name, None)
-        if handed is not None and handed[0].epoch == epoch:
-            handover, received_at = handed
+        pending = self._pending_handovers.pop(customer.name, None)
+        if pending is not None and pending[0].epoch == epoch:
+            handover, received_at = pending
             return CustomerShare.from_handover(
                 customer, fraction, handover.state, received_at
             )
@@ -219,13 +225,13 @@
         # the bucket is only made now.
         claimed_at = self.membership.held_since(SlotKind.CUSTOMER, customer.name)
         since = None if claimed_at is None else claimed_at + MAX_BATCH_TTL_SECONDS
-        if never_served:
+        if is_new_customer:
             since = float("-inf")
         return CustomerShare.from_config(
             customer, fraction, time.monotonic(), unserved_since=since
         )
 
-    def _pull(self, customer: str, held: HeldShare, pull: Pull) -> None:
+    def _send_pull(self, customer: str, local_share: LocalShare, pull: Pull) -> None:
         holder = self.membership.holder(SlotKind.CUSTOMER, customer, pull.zone)
         if holder is None:
             return
@@ -235,35 +241,35 @@
         if sent.is_error():
             return
         found = msgspec.convert(sent.ok, DrawAnswer)
-        held.offered = held.offered or found.offered
+        local_share.has_offer = local_share.has_offer or found.offered
         answer: Batch | RateRefused | None = found.batch or found.refused
         if answer is not None:
             with self._lock:
-                held.share.settle_pull(time.monotonic(), pull.draw_id, answer)
+                local_share.share.settle_pull(time.monotonic(), pull.draw_id, answer)
 
     def _hand_over(self, moved: MovedSlots) -> None:
         """Pass the buckets of slots that were given up to the next holders."""
         now = time.monotonic()
         by_url: dict[str, list[HandoverRequest]] = {}
         with self._lock:
-            for customer, held in list(self._held.items()):
+            for customer, local_share in list(self._local_shares.items()):
                 slot = self.membership.slot(SlotKind.CUSTOMER, customer)
                 move = moved.moves.get(slot)
                 if move is None:
                     continue
-                state = held.share.hand_over(now)
-                del self._held[customer]
+                state = local_share.share.hand_over(now)
+                del self._local_shares[customer]
                 request = HandoverRequest(customer, move.next_epoch, state)
                 by_url.setdefault(move.peer_url, []).append(request)
         for url, requests in by_url.items():
             self.peers.call(url, "POST", "/peer/v1/handovers", requests)
 
-    def _on_changes(self, changes: list[Change]) -> None:
+    def _on_config_changes(self, changes: list[Change]) -> None:
         for change in changes:
             if change.kind is not DocumentKind.CUSTOMER:
                 continue
             customer = self.config.customer(change.name)
-            held = self.held().get(change.name)
-            if customer is not None and held is not None:
+            local_share = self.local_shares().get(change.name)
+            if customer is not None and local_share is not None:
                 with self._lock:
-                    held.keeper.set_customer(time.monotonic(), customer)
+                    local_share.manager.set_customer(time.monotonic(), customer)
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/tests/test_rate_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/tests/test_rate_limiter.py
@@ -14,7 +14,7 @@
 ME = SimpleNamespace(host="h", incarnation="1", zone="z")
 
 
-class Membership:
+class FakeMembership:
     """One zone with this host alone."""
 
     me = ME
@@ -29,7 +29,7 @@
         pass
 
 
-class Shares:
+class FakeShareService:
     """Answers draws with what it was given, in order."""
 
     def __init__(self, *answers):
@@ -42,31 +42,31 @@
         return answer
 
 
-def limiter(*answers):
-    return RateLimiter(Membership(), None, Shares(*answers))
+def make_limiter(*answers):
+    return RateLimiter(FakeMembership(), None, FakeShareService(*answers))
 
 
 class TestAdmit:
-    def test_slot_that_moves_refuses_nobody(self):
+    def test_moving_slot_is_retried(self):
         """A host joins and takes a customer's slot over. For a moment nobody counts
         the customer's rate, and requests inside it would be refused.
         """
         moving = Error(not_holder("customer"))
-        assert limiter(moving, Batch("", 1.0, 1.0)).admit(CUSTOMER) is None
+        assert make_limiter(moving, Batch("", 1.0, 1.0)).admit(CUSTOMER) is None
 
-    def test_zone_without_a_share_says_nothing_of_the_rate(self):
+    def test_refusal_of_zone_without_share_is_retried(self):
         """The customer's own zone isn't reached for a moment and another zone, which
         has no share of it, answers. Far inside its rate the customer was told that
         its rate is used up (3 of 16 calls of one run).
         """
         no_share = Ok(DrawAnswer(refused=RateRefused(0.5, 0.0, 0.0, 0.0)))
-        assert limiter(no_share, Batch("", 1.0, 1.0)).admit(CUSTOMER) is None
+        assert make_limiter(no_share, Batch("", 1.0, 1.0)).admit(CUSTOMER) is None
 
-    def test_used_up_rate_is_refused_at_once(self):
+    def test_exceeded_rate_is_refused_immediately(self):
         """Held back until a token comes, a hot customer's requests would fill the
         host's threads and hold up the others.
         """
         refused = Ok(DrawAnswer(refused=RateRefused(3.0, 0.0, 0.1, 1.0)))
-        refusal = limiter(refused).admit(CUSTOMER)
+        refusal = make_limiter(refused).admit(CUSTOMER)
         assert refusal.reason is Reason.RATE_LIMITED
         assert refusal.retry_after_seconds > 0
--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
@@ -149,20 +149,20 @@
         message = _decode(req, ReturnRequest)
         if message.is_error():
             return Response.from_refusal(message.error)
-        self.shares.give_back(customer, message.ok)
+        self.shares.return_batch(customer, message.ok)
         return Response.from_json({})
 
     def yield_to(self, req: Request, customer: str) -> Response:
         """Give another zone's holder a part of a customer's tokens."""
         message = _decode(req, YieldRequest)
-        return _answer(message.bind(lambda m: self.shares.yield_to(customer, m)))
+        return _answer(message.bind(lambda m: self.shares.answer_pull(customer, m)))
 
     def receive(self, req: Request) -> Response:
         """Take over buckets from the former holder of their slots."""
         message = _decode(req, list[HandoverRequest])
         if message.is_error():
             return Response.from_refusal(message.error)
-        self.shares.receive(message.ok)
+        self.shares.receive_handovers(message.ok)
         return Response.from_json({})
 
     def target(self, req: Request, target: str, verb: str) -> Response:
