--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/__init__.py
@@ -1,4 +1,9 @@
-"""Rate and burst of customers: holders' buckets and entry hosts' tokens."""
+"""Rate limits of customers.
+
+The holder of a customer's slot keeps a token bucket and lends batches of tokens to the
+entry hosts that receive the requests. The rate is divided among zones; parts of it move
+to the zones where requests arrive.
+"""
 
 from swifttide_daemon.limits._messages import (
     DrawAnswer,
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_local_share.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_local_share.py
@@ -1,4 +1,4 @@
-"""A customer's share as its holder keeps it."""
+"""Share of a customer's rate at the host that holds the customer's slot."""
 
 from dataclasses import dataclass
 
@@ -7,17 +7,18 @@
 
 @dataclass(slots=True)
 class LocalShare:
-    """Bucket and row, and when to look at them again.
+    """Token bucket and ``shares`` row of a customer, and the time of the next check.
 
     Parameters
     ----------
     epoch : int
-        Epoch of the slot under which it was made.
-    keeper : ZoneShareManager
-    plan_at : float
-        Monotonic seconds of the next thought about moving a part of it.
-    offered : bool
-        Whether another zone's holder has said that the row holds an offer.
+        Epoch of the slot when the share was created.
+    manager : ZoneShareManager
+    next_plan_at : float
+        Monotonic time in seconds at which to check whether a part of the share should
+        move to another zone.
+    has_offer : bool
+        Whether the holder in another zone reported an offer for this zone in the row.
     """
 
     epoch: int
@@ -27,5 +28,5 @@
 
     @property
     def share(self) -> CustomerShare:
-        """The bucket."""
+        """Token bucket of the customer."""
         return self.manager.share
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_messages.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between entry hosts and holders of a customer."""
+"""Messages between entry hosts and the holders of a customer's slot."""
 
 from dataclasses import dataclass
 
@@ -7,17 +7,22 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawRequest:
-    """An entry host asks for tokens.
+    """Request of an entry host for tokens of a customer.
 
     Parameters
     ----------
     entry_host, entry_zone : str
-        Host with its incarnation, and its zone.
+        Name and incarnation of the host that asks, and its zone.
     draw_id : str
+        Id that is unique during the lifetime of the entry host's process.
     wanted : float
+        Tokens that the waiting request still needs.
     partial : bool
+        Whether fewer tokens than wanted are accepted.
     spend_seconds : float
+        Requested lifetime of a token that is spent as soon as it arrives.
     returned : tuple of Batch
+        Earlier batches of the same holder, with their unspent tokens.
     """
 
     entry_host: str
@@ -31,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawAnswer:
-    """Tokens or a refusal; exactly one of the two is set.
+    """Answer to a draw: either a batch of tokens or a refusal.
 
     Parameters
     ----------
     batch : Batch or None
     refused : RateRefused or None
     offered : bool
-        Whether the customer's row holds an offer for the zone that asked.
+        Whether the customer's ``shares`` row has an offer for the zone that asked.
     """
 
     batch: Batch | None = None
@@ -47,7 +52,7 @@
 
     @classmethod
     def from_core(cls, answer: Batch | RateRefused) -> "DrawAnswer":
-        """Return the message for an answer of the core."""
+        """Return the message for a batch or a refusal."""
         match answer:
             case Batch():
                 return cls(batch=answer)
@@ -57,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReturnRequest:
-    """An entry host gives tokens back."""
+    """Batch whose unspent tokens an entry host returns."""
 
     entry_host: str
     batch: Batch
@@ -65,15 +70,15 @@
 
 @dataclass(frozen=True, slots=True)
 class YieldRequest:
-    """Another zone's holder of the customer asks for a part of the level.
+    """Request of a holder in another zone for a part of the bucket's level.
 
     Parameters
     ----------
     holder : str
-        Host and incarnation that asks.
+        Name and incarnation of the host that asks.
     pull : Pull
     zone : str
-        Its zone.
+        Zone of the host that asks.
     """
 
     holder: str
@@ -83,14 +88,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverRequest:
-    """A host that gives up a customer's slot passes its bucket on.
+    """State of a bucket, sent by the host that gives up the customer's slot.
 
     Parameters
     ----------
     customer : str
     epoch : int
-        Of the claim that may use it; any other claim means that somebody else held
-        the slot in between.
+        Epoch of the claim that may use the state. Any other claim means that another
+        host held the slot in between.
     state : ShareState
     """
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_rate_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_rate_limiter.py
@@ -1,4 +1,11 @@
-"""Admission of requests by their customer's rate, at an entry host."""
+"""Admits or refuses requests by the rate and burst of their customer, at an entry host.
+
+Each request takes one token. Tokens are drawn in batches from the holder of the
+customer's slot, in this zone or another one, and unused batches are returned. While no
+holder can count the rate, for example during a takeover of the slot, the request is
+retried for up to `MAX_TAKEOVER_SECONDS`; a refusal then would hit requests within the
+rate.
+"""
 
 import threading
 import time
@@ -28,14 +35,14 @@
 
 
 class RateLimiter:
-    """Takes a token for each request, drawing batches from the holders.
+    """Takes a token for each request and draws batches from the holders.
 
     Parameters
     ----------
     membership : MembershipService
     peers : PeerClient
     shares : ShareService
-        For customers whose slot is held here.
+        Buckets of the customers whose slots this host holds.
     """
 
     def __init__(
@@ -52,19 +59,19 @@
         self._thread = threading.Thread(target=self._return_unused, daemon=True)
 
     def start(self) -> None:
-        """Give back unused tokens from now on."""
+        """Start the thread that returns unused tokens."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Give back all that is held."""
+        """Stop the thread that returns unused tokens."""
         self._stop.set()
 
     def admit(self, customer: Customer) -> Refusal | None:
-        """Take a token; return why the request is refused, or None.
+        """Take a token; return the refusal of the request, or None if it is admitted.
 
-        While the customer's slot moves to another host nobody counts its rate. A
-        refusal then would be a wrongful one, and a planned move takes less than
-        `MAX_TAKEOVER_SECONDS`.
+        While the customer's slot moves to another host, no host counts its rate. A
+        refusal then could hit a request within the rate. A planned move takes less than
+        `MAX_TAKEOVER_SECONDS`, so the request is retried for so long.
         """
         ends_at = time.monotonic() + MAX_TAKEOVER_SECONDS
         while True:
@@ -90,7 +97,7 @@
         return _refusal(answer)
 
     def _current_limiter(self) -> EntryRateLimiter:
-        """Return the entry_limiter, a new one after this host lost its lease."""
+        """Return the entry limiter; a new one after this host lost its lease."""
         me = self.membership.me
         zones = (me.zone, *(z for z in self.membership.zones() if z != me.zone))
         if self._entry_limiter is None or self._incarnation != me.incarnation:
@@ -151,18 +158,19 @@
 
 
 def _refusal(refused: RateRefused) -> Refusal:
-    """Return a refusal that tells a used-up rate from one that nobody counts now.
+    """Return the refusal for an exceeded rate, or for a rate that is not counted now.
 
-    A zone without a share of the customer answers, too, and knows nothing of its rate.
+    The holder of a zone without a share of the customer refuses every draw, with rate
+    0; this does not mean that the customer exceeded its rate.
     """
     if refused.rate > 0.0:
         return Refusal(
             Reason.RATE_LIMITED,
-            "the customer's rate and burst are used up",
+            "rate and burst of the customer are exceeded",
             retry_after_seconds=refused.retry_after_seconds,
         )
     return Refusal(
         Reason.NOT_HOLDER,
-        "the customer's rate can't be counted at this moment",
+        "rate of the customer cannot be counted now",
         retry_after_seconds=max(refused.retry_after_seconds, 1.0),
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_mover.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_mover.py
@@ -1,4 +1,9 @@
-"""Moves parts of a customer's rate to the zones where its requests arrive."""
+"""Moves parts of a customer's rate to the zones where its requests arrive.
+
+For each customer whose slot this host holds, a thread checks every
+`PLAN_INTERVAL_SECONDS` whether a part of the share should be given up or an offered
+part be accepted, and writes the change to the customer's ``shares`` row.
+"""
 
 import logging
 import threading
@@ -16,13 +21,13 @@
 
 STEP_INTERVAL_SECONDS = 0.5
 PLAN_INTERVAL_SECONDS = 5.0
-"""Pause between thoughts about moving a part. They cost no read; the row is read
-only after a write or when another zone's holder says that it holds an offer: 7,900
-customers in 5 zones would be thousands of reads a second."""
+"""Interval of the checks per customer. A check does not read the row; it is read only
+after a write, or when the holder in another zone reports an offer. For 7,900 customers
+in 5 zones, a read per check would be thousands of reads per second."""
 
 
 class ShareMover:
-    """Gives up parts that another zone needs, and takes what is offered here.
+    """Gives up parts of shares that other zones need and accepts offered parts.
 
     Parameters
     ----------
@@ -47,11 +52,11 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Move shares from now on."""
+        """Start the thread that moves shares."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Leave the shares as they are."""
+        """Stop the thread; the shares remain as they are."""
         self._stop.set()
 
     def _run(self) -> None:
@@ -60,8 +65,11 @@
                 try:
                     self._step(name, local_share)
                 except Exception:
-                    # One odd row must not stop the moves of other customers.
-                    log.exception("share step failed", extra={"customer": name})
+                    # An error for one customer must not stop the others.
+                    log.exception(
+                        "update of the customer's share failed",
+                        extra={"customer": name},
+                    )
 
     def _step(self, name: str, local_share: LocalShare) -> None:
         if self.membership.epoch(SlotKind.CUSTOMER, name) != local_share.epoch:
@@ -87,7 +95,7 @@
         fence = self.membership.fence(SlotKind.CUSTOMER, name, local_share.epoch)
         if fence is not None:
             self.rows.write(name, local_share.manager.version, row, (fence,))
-            # Only what the row says is used, whatever became of the write.
+            # The write may have failed or its answer been lost; only the row counts.
             self._reload(name, local_share)
 
     def _reload(self, name: str, local_share: LocalShare) -> None:
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_rows.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_rows.py
@@ -1,4 +1,7 @@
-"""The division of a customer's rate among zones, in the platform's table."""
+"""Reads and writes the division of a customer's rate among zones.
+
+It is stored in the platform's ``shares`` table, with one row per customer.
+"""
 
 from dataclasses import dataclass
 
@@ -21,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredShares:
-    """The row of a customer.
+    """Row of a customer in the ``shares`` table.
 
     Parameters
     ----------
     shares : ZoneShares
     version : int
     created : bool
-        Whether this very call made the row: nobody can have served the customer.
+        Whether this call created the row, so that no host has served the customer yet.
     """
 
     shares: ZoneShares
@@ -37,7 +40,7 @@
 
 
 class ShareRows:
-    """Reads, makes and moves shares.
+    """Reads, creates and updates rows of the ``shares`` table.
 
     Parameters
     ----------
@@ -48,7 +51,7 @@
         self.platform = platform
 
     def read(self, customer: Customer) -> Result[StoredShares, PlatformError]:
-        """Return a customer's division, making it at the first call of all."""
+        """Return the row of a customer; create it if it does not exist."""
         found = self.platform.read(SHARES_TABLE, customer.name)
         if found.is_error():
             return found
@@ -64,17 +67,17 @@
         shares: ZoneShares,
         checks: tuple[Check, ...] = (),
     ) -> bool:
-        """Write a division if nobody else has since; return whether it took effect.
+        """Write a row if its version is unchanged; return whether it took effect.
 
         Parameters
         ----------
         customer : str
         version : int
-            Of the row that the division was made from.
+            Version of the row from which `shares` was computed.
         shares : ZoneShares
         checks : tuple of Check
-            Further conditions. Without that of the slot, a holder that was paused
-            gives away a part that its successor has begun to use.
+            Further conditions. Without a check of the slot, a holder that was paused
+            could give away a part that its successor already uses.
         """
         tx = Transaction(
             (Check(SHARES_TABLE, customer, version), *checks),
@@ -94,7 +97,7 @@
             return Ok(StoredShares(shares, version, created=True))
         found = self.platform.read(SHARES_TABLE, customer.name)
         if found.is_error() or found.ok is None:
-            return Error(PlatformError("the shares can't be made"))
+            return Error(PlatformError("cannot create the shares row of the customer"))
         shares = ZoneShares.from_row(found.ok.value)
         return Ok(StoredShares(shares, found.ok.version))
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_service.py
@@ -1,4 +1,10 @@
-"""The rate and burst of the customers whose slots this host holds."""
+"""Token buckets of the customers whose slots this host holds.
+
+A bucket is created when a customer's tokens are first drawn after the slot was claimed.
+It starts from the state that the former holder handed over, or from the customer's row
+and the time since the claim. Tokens are lent to entry hosts, and parts of the level are
+exchanged with the holders in other zones.
+"""
 
 import logging
 import threading
@@ -41,7 +47,7 @@
 
 
 class ShareService:
-    """Buckets by customer, made when a customer is first asked for.
+    """Lends, takes back and hands over the tokens of customers.
 
     Parameters
     ----------
@@ -70,27 +76,27 @@
 
     @property
     def holder_id(self) -> str:
-        """Host and incarnation, as other holders know this one."""
+        """Name and incarnation of this host, by which other holders identify it."""
         me = self.membership.me
         return f"{me.host}-{me.incarnation}"
 
     def local_shares(self) -> dict[str, LocalShare]:
-        """Return the buckets that are kept here, by customer."""
+        """Return the shares that this host keeps, by customer."""
         with self._lock:
             return dict(self._local_shares)
 
     def drop(self, customer: str) -> None:
-        """Forget a bucket whose slot another host holds."""
+        """Remove the share of a customer whose slot another host holds."""
         with self._lock:
             self._local_shares.pop(customer, None)
 
     def next_write(self, local_share: LocalShare) -> ZoneShares | None:
-        """Return the row to write for a bucket, or None."""
+        """Return the row to write for a share, or None if nothing changes."""
         with self._lock:
             return local_share.manager.next_write(time.monotonic())
 
     def apply_row(self, local_share: LocalShare, stored: StoredShares) -> None:
-        """Put a row in force that was read."""
+        """Apply a row that was read from the platform."""
         with self._lock:
             local_share.manager.apply_row(
                 time.monotonic(), stored.shares, stored.version
@@ -104,7 +110,7 @@
         local_share = found.ok
         others = tuple(z for z in self.membership.zones() if z != self._zone)
         with self._lock:
-            # Both clocks are read under the lock: a thread that was held up between
+            # Time and lease are read under the lock: a thread that was delayed between
             # the check of the lease and the lending must not lend after its end.
             now = time.monotonic()
             answer = local_share.share.draw(
@@ -121,17 +127,17 @@
             pulls = local_share.share.next_pulls(now, self.holder_id, others)
             moved = self._local_shares.get(customer) is not local_share
         if moved and isinstance(answer, RateRefused):
-            # The bucket was handed over in the meantime. It refuses everything, which
-            # says nothing of the customer's rate.
+            # The bucket was handed over in the meantime and refuses every draw. This
+            # does not mean that the customer exceeded its rate.
             return Error(not_holder("customer"))
         for pull in pulls:
-            # The caller's request doesn't wait for another zone's answer.
+            # The request must not wait for the answer of another zone.
             args = (customer, local_share, pull)
             threading.Thread(target=self._send_pull, args=args, daemon=True).start()
         return Ok(DrawAnswer.from_core(answer))
 
     def return_batch(self, customer: str, req: ReturnRequest) -> None:
-        """Take tokens back."""
+        """Return the unspent tokens of a batch to the bucket."""
         with self._lock:
             local_share = self._local_shares.get(customer)
             if local_share is not None:
@@ -142,7 +148,7 @@
     def answer_pull(
         self, customer: str, req: YieldRequest
     ) -> Result[DrawAnswer, Refusal]:
-        """Give another zone's holder a part of the level."""
+        """Answer a holder in another zone that asks for a part of the level."""
         found = self._get_or_create_share(customer)
         if found.is_error():
             return found
@@ -156,7 +162,7 @@
         return Ok(replace(DrawAnswer.from_core(answer), offered=offered))
 
     def receive_handovers(self, handovers: list[HandoverRequest]) -> None:
-        """Keep what a former holder passes on until the slot is claimed here."""
+        """Store states of a former holder until this host uses their slots."""
         now = time.monotonic()
         with self._lock:
             if len(self._pending_handovers) > MAX_PENDING_HANDOVERS:
@@ -184,12 +190,12 @@
             return Error(Refusal(Reason.NOT_FOUND, f"no customer {customer!r}"))
         read = self.rows.read(document)
         if read.is_error():
-            # Without the row nobody here knows the zone's part; guessing it could
-            # give the customer more than its rate.
+            # Without the row the fraction of this zone is unknown. A guess could admit
+            # more than the customer's rate.
             return Error(
                 Refusal(
                     Reason.PLATFORM_UNAVAILABLE,
-                    "the customer's share of rate can't be read",
+                    "cannot read the customer's share of its rate",
                     retry_after_seconds=1.0,
                 )
             )
@@ -220,9 +226,9 @@
             return CustomerShare.from_handover(
                 customer, fraction, handover.state, received_at
             )
-        # Since the claim nobody else has lent tokens, and what was lent before it is
-        # out of use a batch's life later; what came in from then on is there, although
-        # the bucket is only made now.
+        # No other host has lent tokens since the claim, and batches lent before it have
+        # expired after the maximum batch lifetime. The refill since then is credited,
+        # although the bucket is created only now.
         claimed_at = self.membership.held_since(SlotKind.CUSTOMER, customer.name)
         since = None if claimed_at is None else claimed_at + MAX_BATCH_TTL_SECONDS
         if is_new_customer:
@@ -248,7 +254,7 @@
                 local_share.share.settle_pull(time.monotonic(), pull.draw_id, answer)
 
     def _hand_over(self, moved: MovedSlots) -> None:
-        """Pass the buckets of slots that were given up to the next holders."""
+        """Send the buckets of slots that were given up to their next holders."""
         now = time.monotonic()
         by_url: dict[str, list[HandoverRequest]] = {}
         with self._lock:
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/tests/test_rate_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/tests/test_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Requests that arrive while a customer's slot moves to another host."""
+"""Tests for admission at an entry host, also while a customer's slot moves."""
 
 from types import SimpleNamespace
 
@@ -15,7 +15,7 @@
 
 
 class FakeMembership:
-    """One zone with this host alone."""
+    """A single zone in which this host holds all slots."""
 
     me = ME
 
@@ -30,7 +30,7 @@
 
 
 class FakeShareService:
-    """Answers draws with what it was given, in order."""
+    """Returns the given answers to draws, in order."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -48,23 +48,29 @@
 
 class TestAdmit:
     def test_moving_slot_is_retried(self):
-        """A host joins and takes a customer's slot over. For a moment nobody counts
-        the customer's rate, and requests inside it would be refused.
+        """Guards against refusals of requests within the rate during a takeover.
+
+        A host joins and takes over a customer's slot. For a short time, no host counts
+        the customer's rate.
         """
         moving = Error(not_holder("customer"))
         assert make_limiter(moving, Batch("", 1.0, 1.0)).admit(CUSTOMER) is None
 
     def test_refusal_of_zone_without_share_is_retried(self):
-        """The customer's own zone isn't reached for a moment and another zone, which
-        has no share of it, answers. Far inside its rate the customer was told that
-        its rate is used up (3 of 16 calls of one run).
+        """Guards against a refusal by a zone that has no share of the customer.
+
+        The customer's own zone is unreachable for a short time, and another zone
+        without a share answers. Calls far below the rate were refused as exceeding it (3 of 16
+        calls of one run).
         """
         no_share = Ok(DrawAnswer(refused=RateRefused(0.5, 0.0, 0.0, 0.0)))
         assert make_limiter(no_share, Batch("", 1.0, 1.0)).admit(CUSTOMER) is None
 
     def test_exceeded_rate_is_refused_immediately(self):
-        """Held back until a token comes, a hot customer's requests would fill the
-        host's threads and hold up the others.
+        """Guards against exhaustion of the host's threads.
+
+        If requests waited for a token, those of a customer far above its rate would
+        occupy the threads and delay the requests of other customers.
         """
         refused = Ok(DrawAnswer(refused=RateRefused(3.0, 0.0, 0.1, 1.0)))
         refusal = make_limiter(refused).admit(CUSTOMER)
