--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/tests/test_rate_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/tests/test_rate_limiter.py
@@ -60,8 +60,8 @@
         """Guards against a refusal by a zone that has no share of the customer.
 
         The customer's own zone is unreachable for a short time, and another zone
-        without a share answers. Calls far below the rate were refused as exceeding it (3 of 16
-        calls of one run).
+        without a share answers. Calls far below the rate were refused as exceeding it
+        (3 of 16 calls of one run).
         """
         no_share = Ok(DrawAnswer(refused=RateRefused(0.5, 0.0, 0.0, 0.0)))
         assert make_limiter(no_share, Batch("", 1.0, 1.0)).admit(CUSTOMER) is None
