--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -40,10 +40,10 @@
 from swifttide_daemon.strikes import StrikeService
 from swifttide_daemon.targets import (
     EngineClient,
-    GrantBook,
+    GrantClient,
     QueueService,
     ServiceClient,
-    TargetBoard,
+    TargetSelector,
 )
 from swifttide_daemon.telemetry import Telemetry
 from swifttide_daemon.web import App, Route, WebServer
@@ -125,8 +125,8 @@
         self.engines = EngineClient.from_settings(timeouts)
         self.service_client = ServiceClient.from_settings(timeouts)
         self.queues = QueueService(self.membership, self.config, self.engines)
-        self.grants = GrantBook(self.membership, self.queues, self.peer_client)
-        self.board = TargetBoard.from_config(self.config)
+        self.grants = GrantClient(self.membership, self.queues, self.peer_client)
+        self.board = TargetSelector.from_config(self.config)
         self.strikes = StrikeService(self.membership, self.peer_client)
         self.book = ProgramBook(
             ProgramStore(self.platform), self.telemetry.metrics.end_program
--- a/packages/swifttide_daemon/src/swifttide_daemon/_health.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_health.py
@@ -69,7 +69,7 @@
         metrics.set_lease("held" if holds else "lapsed")
         metrics.set_config_version(self.config.version)
         metrics.set_slots_held(len(self.membership.held()))
-        for target, length in self.queues.lengths().items():
+        for target, length in self.queues.queue_lengths().items():
             metrics.set_queue(target, length)
         for target, n_bytes in self.caches.held_bytes.items():
             metrics.set_cache_held(target, n_bytes)
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_program_handlers.py
@@ -111,7 +111,7 @@
         for name in row.targets:
             target = self.config.state.get(DocumentKind.TARGET, name)
             if isinstance(target, Target):
-                self.engines.release(target, program, row.version)
+                self.engines.release_cache(target, program, row.version)
 
     def _read(self, customer: str, program: str) -> Result[ProgramRow, Refusal]:
         if not NAME.match(program):
--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
@@ -29,7 +29,7 @@
 from swifttide_daemon.strikes import StrikeService, strike_of
 from swifttide_daemon.targets import (
     AcquireRequest,
-    GrantBook,
+    GrantClient,
     ReleaseRequest,
     RenewRequest,
     WithdrawRequest,
@@ -55,7 +55,7 @@
     heartbeat : Heartbeat
     table : CallTable
     shares : ShareService
-    grants : GrantBook
+    grants : GrantClient
     strikes : StrikeService
     caches : CacheKeeper
     outages : OutageService
@@ -68,7 +68,7 @@
         heartbeat: Heartbeat,
         table: CallTable,
         shares: ShareService,
-        grants: GrantBook,
+        grants: GrantClient,
         strikes: StrikeService,
         caches: CacheKeeper,
         outages: OutageService,
--- a/packages/swifttide_daemon/src/swifttide_daemon/retention/_cache_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/retention/_cache_keeper.py
@@ -115,7 +115,7 @@
             self.book.trim()
 
     def _reconcile(self, target: Target) -> None:
-        listing = self.engines.cache(target)
+        listing = self.engines.cache_bytes(target)
         if listing is None:
             return
         self.held_bytes[target.name] = sum(listing.values())
@@ -153,7 +153,7 @@
                     self._release(target, judgement.program, judgement.fencing)
 
     def _release(self, target: Target, program: str, fencing: int) -> None:
-        if self.engines.release(target, program, fencing):
+        if self.engines.release_cache(target, program, fencing):
             self.queues.end_program(target.name, program)
 
     def _measure_tokens(
@@ -164,12 +164,12 @@
         n_tokens = sum(j.paused.cached_tokens for j in paused)
         n_bytes = sum(listing.get(j.program, 0) for j in paused)
         if n_tokens and n_bytes:
-            self.queues.note_token_bytes(target.name, n_bytes / n_tokens)
+            self.queues.set_token_bytes(target.name, n_bytes / n_tokens)
 
     def _export(self, target: Target, judgement: Judgement) -> None:
         name = f"cache/{judgement.program}/{judgement.fencing}"
         program, fencing = judgement.program, judgement.fencing
-        if not self.engines.export(target, program, name, fencing):
+        if not self.engines.export_cache(target, program, name, fencing):
             return
         exported = ExportedCache(program, name, judgement.paused.cached_tokens)
         for zone in self._zones_of(program):
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_generator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_generator.py
@@ -177,8 +177,11 @@
                 return made
             except TargetFailure as failure:
                 span.set(verdict=failure.verdict.value)
-                died = failure.broke and self.crash_detector.report_if_crashed(
-                    target, prompt.fingerprint, incarnation
+                died = (
+                    failure.connection_broke
+                    and self.crash_detector.report_if_crashed(
+                        target, prompt.fingerprint, incarnation
+                    )
                 )
                 if not died and failure.verdict is not Verdict.NOT_RUN:
                     self.engines.cancel(target, placement.ticket_id)
@@ -195,7 +198,7 @@
             return
         name, _tokens = prompt.exported_cache
         program = context.call.program_path
-        self.engines.fetch(placement.target, program, name, prompt.fencing_token)
+        self.engines.import_cache(placement.target, program, name, prompt.fencing_token)
 
     def _read_stream(
         self,
@@ -273,7 +276,7 @@
         status = OutcomeStatus.FAILED if sent else OutcomeStatus.NOT_SENT
         self.placer.finish(placement, Outcome(status), ok=False)
         self.telemetry.metrics.retry("target")
-        if failure.not_loaded:
+        if failure.model_not_loaded:
             self.loader.load_in_background(placement.target, context.profile.model)
         log.info(
             "target_failed",
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_placement.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_placement.py
@@ -19,10 +19,10 @@
 from swifttide_core.verdicts import Reason, Refusal
 from swifttide_daemon.runners._call_context import CallContext
 from swifttide_daemon.targets import (
-    POLL_SECONDS,
+    MAX_POLL_SECONDS,
     AcquireRequest,
-    GrantBook,
-    TargetBoard,
+    GrantClient,
+    TargetSelector,
 )
 
 MAX_TARGETS_TRIED = 8
@@ -79,8 +79,8 @@
 
     Parameters
     ----------
-    board : TargetBoard
-    grants : GrantBook
+    selector : TargetSelector
+    grants : GrantClient
     zone : str
         Zone of this host.
     on_admit : callable
@@ -89,12 +89,12 @@
 
     def __init__(
         self,
-        board: TargetBoard,
-        grants: GrantBook,
+        selector: TargetSelector,
+        grants: GrantClient,
         zone: str,
         on_admit: Callable[[str, str, float], None],
     ) -> None:
-        self.board = board
+        self.selector = selector
         self.grants = grants
         self.zone = zone
         self.on_admit = on_admit
@@ -121,13 +121,13 @@
         """
         refusal: Refusal | None = None
         for _ in range(MAX_TARGETS_TRIED):
-            choice = self.board.choose(self._route_request(demand, avoid))
+            choice = self.selector.choose(self._route_request(demand, avoid))
             if isinstance(choice, NoTarget):
                 return Error(refusal or choice.refusal)
-            target = self.board.target(choice.target)
-            breaker_permit = self.board.ask(choice.target)
+            target = self.selector.target(choice.target)
+            breaker_permit = self.selector.acquire_breaker_permit(choice.target)
             if target is None or isinstance(breaker_permit, Blocked):
-                self.board.finished(choice.target)
+                self.selector.count_finished(choice.target)
                 avoid |= {choice.target}
                 continue
             asked = self._acquire(context, demand, target, ticket_id)
@@ -135,8 +135,8 @@
                 return Ok(
                     Placement(target, ticket_id, breaker_permit, time.monotonic())
                 )
-            self.board.withdraw(target.name, breaker_permit)
-            self.board.finished(target.name)
+            self.selector.withdraw_permit(target.name, breaker_permit)
+            self.selector.count_finished(target.name)
             refusal, elsewhere = asked.error
             if not elsewhere:
                 return Error(refusal)
@@ -147,22 +147,22 @@
 
     def finish(self, placement: Placement, outcome: Outcome, ok: bool) -> None:
         """Record the outcome of a call that was sent, and release its admission."""
-        self.board.report(placement.target.name, placement.breaker_permit, ok)
+        self.selector.report_result(placement.target.name, placement.breaker_permit, ok)
         self._release(placement, outcome)
 
     def cancel(self, placement: Placement) -> None:
         """Release the admission of a call that was not sent."""
-        self.board.withdraw(placement.target.name, placement.breaker_permit)
+        self.selector.withdraw_permit(placement.target.name, placement.breaker_permit)
         self._release(placement, Outcome(OutcomeStatus.NOT_SENT))
 
     def _release(self, placement: Placement, outcome: Outcome) -> None:
         name = placement.target.name
-        self.board.finished(name)
+        self.selector.count_finished(name)
         self.grants.release(
             placement.target,
             placement.ticket_id,
             outcome,
-            lambda answer: self.board.learn(name, answer.snapshot),
+            lambda answer: self.selector.update_queue_state(name, answer.snapshot),
         )
 
     def _acquire(
@@ -185,12 +185,12 @@
             expected_remaining_seconds=demand.expected_remaining_seconds,
             new_history=demand.new_history,
             waited_seconds=asked_at - context.started_at,
-            wait_seconds=POLL_SECONDS,
+            wait_seconds=MAX_POLL_SECONDS,
         )
         answer = self.grants.wait(target, req, context.deadline)
         if answer.is_error():
             return Error((answer.error, True))
-        self.board.learn(target.name, answer.ok.snapshot)
+        self.selector.update_queue_state(target.name, answer.ok.snapshot)
         if not answer.ok.admitted:
             return Error((answer.ok.refusal, answer.ok.try_elsewhere))
         waited = time.monotonic() - asked_at
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/__init__.py
@@ -6,7 +6,7 @@
     EngineText,
     TargetFailure,
 )
-from swifttide_daemon.targets._grant_book import POLL_SECONDS, GrantBook
+from swifttide_daemon.targets._grant_client import MAX_POLL_SECONDS, GrantClient
 from swifttide_daemon.targets._messages import (
     AcquireAnswer,
     AcquireRequest,
@@ -17,23 +17,23 @@
 from swifttide_daemon.targets._queue_service import QueueService, not_holder
 from swifttide_daemon.targets._service_answer import ServiceAnswer
 from swifttide_daemon.targets._service_client import ServiceClient
-from swifttide_daemon.targets._target_board import TargetBoard
+from swifttide_daemon.targets._target_selector import TargetSelector
 
 __all__ = [
-    "POLL_SECONDS",
+    "MAX_POLL_SECONDS",
     "AcquireAnswer",
     "AcquireRequest",
     "EngineClient",
     "EngineDone",
     "EngineText",
-    "GrantBook",
+    "GrantClient",
     "QueueService",
     "ReleaseRequest",
     "RenewRequest",
     "WithdrawRequest",
     "ServiceAnswer",
     "ServiceClient",
-    "TargetBoard",
+    "TargetSelector",
     "TargetFailure",
     "not_holder",
 ]
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_engine_events.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_engine_events.py
@@ -38,10 +38,10 @@
     detail : str
     verdict : Verdict
         What is known of the request.
-    broke : bool
+    connection_broke : bool
         Whether the connection broke while the request ran, which a crash of the
         target would explain.
-    not_loaded : bool
+    model_not_loaded : bool
         Whether the engine hasn't loaded the model that its document says it serves.
     """
 
@@ -50,12 +50,12 @@
         reason: Reason,
         detail: str,
         verdict: Verdict,
-        broke: bool = False,
-        not_loaded: bool = False,
+        connection_broke: bool = False,
+        model_not_loaded: bool = False,
     ) -> None:
         super().__init__(detail)
         self.reason = reason
         self.detail = detail
         self.verdict = verdict
-        self.broke = broke
-        self.not_loaded = not_loaded
+        self.connection_broke = connection_broke
+        self.model_not_loaded = model_not_loaded
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_grant_book.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_grant_client.py
@@ -23,20 +23,20 @@
 )
 from swifttide_daemon.targets._queue_service import QueueService
 
-RENEW_SECONDS = 5.0
+RENEW_INTERVAL_SECONDS = 5.0
 """A third of a grant's life: two renewals may be lost."""
 
-POLL_SECONDS = 2.0
+MAX_POLL_SECONDS = 2.0
 """How long a holder may hold an answer back: a connection that has gone silent is
 noticed after this time, and the call asks again under the same id."""
 
-HOLDER_PAUSE_SECONDS = 0.2
-RELEASE_THREADS = 4
-OWN_ZONE_PATIENCE_SECONDS = 15.0
-OTHER_ZONE_PATIENCE_SECONDS = 2.0
+HOLDER_RETRY_SECONDS = 0.2
+N_RELEASE_THREADS = 4
+OWN_ZONE_HOLDER_TIMEOUT_SECONDS = 15.0
+OTHER_ZONE_HOLDER_TIMEOUT_SECONDS = 2.0
 
 
-class GrantBook:
+class GrantClient:
     """Asks for admission, releases it, and renews what is held.
 
     Parameters
@@ -56,9 +56,9 @@
         self.peers = peers
         self._grants: dict[str, tuple[Target, AcquireRequest]] = {}
         self._lock = threading.Lock()
-        self._releases = ThreadPoolExecutor(RELEASE_THREADS, "release")
+        self._release_pool = ThreadPoolExecutor(N_RELEASE_THREADS, "release")
         self._stop = threading.Event()
-        self._thread = threading.Thread(target=self._run, daemon=True)
+        self._thread = threading.Thread(target=self._renew_grants, daemon=True)
 
     def start(self) -> None:
         """Renew grants from now on."""
@@ -67,13 +67,13 @@
     def stop(self) -> None:
         """Stop renewing; releases that are on their way are sent."""
         self._stop.set()
-        self._releases.shutdown(wait=True)
+        self._release_pool.shutdown(wait=True)
 
     def acquire(
         self, target: Target, req: AcquireRequest
     ) -> Result[AcquireAnswer, Refusal]:
         """Ask once; the answer may be "still queued"."""
-        answer = self._ask(target, "acquire", req)
+        answer = self._send(target, "acquire", req)
         if answer.is_error():
             return answer
         found = answer.ok
@@ -90,7 +90,9 @@
         A queue that is on its way to another holder refuses nobody: the call asks
         again until its deadline.
         """
-        unanswered_until = min(deadline, time.monotonic() + self._patience(target))
+        unanswered_until = min(
+            deadline, time.monotonic() + self._holder_timeout_seconds(target)
+        )
         while time.monotonic() < deadline:
             answer = self.acquire(target, req)
             if answer.is_ok() and (answer.ok.admitted or answer.ok.refusal):
@@ -100,7 +102,7 @@
                 if late or answer.error.reason is Reason.NO_TARGET:
                     return answer
                 self.membership.look_again()
-                time.sleep(HOLDER_PAUSE_SECONDS)
+                time.sleep(HOLDER_RETRY_SECONDS)
         self.withdraw(target, req.ticket_id)
         return Error(
             Refusal(
@@ -110,14 +112,18 @@
             )
         )
 
-    def _patience(self, target: Target) -> float:
+    def _holder_timeout_seconds(self, target: Target) -> float:
         """Return how long a queue without a holder is waited for.
 
         In the own zone a takeover ends it; another zone may be cut off for long, and
         there are other targets.
         """
         own = target.zone == self.membership.me.zone
-        return OWN_ZONE_PATIENCE_SECONDS if own else OTHER_ZONE_PATIENCE_SECONDS
+        return (
+            OWN_ZONE_HOLDER_TIMEOUT_SECONDS
+            if own
+            else OTHER_ZONE_HOLDER_TIMEOUT_SECONDS
+        )
 
     def release(
         self,
@@ -132,7 +138,7 @@
         """
         with self._lock:
             self._grants.pop(ticket_id, None)
-        self._releases.submit(self._release, target, ticket_id, outcome, on_answer)
+        self._release_pool.submit(self._release, target, ticket_id, outcome, on_answer)
 
     def _release(
         self,
@@ -141,15 +147,15 @@
         outcome: Outcome,
         on_answer: Callable[[AcquireAnswer], None],
     ) -> None:
-        answer = self._ask(target, "release", ReleaseRequest(ticket_id, outcome))
+        answer = self._send(target, "release", ReleaseRequest(ticket_id, outcome))
         if answer.is_ok():
             on_answer(answer.ok)
 
     def withdraw(self, target: Target, ticket_id: str) -> None:
         """Give up a place in a queue."""
-        self._ask(target, "withdraw", WithdrawRequest(ticket_id))
+        self._send(target, "withdraw", WithdrawRequest(ticket_id))
 
-    def _ask(
+    def _send(
         self,
         target: Target,
         verb: str,
@@ -178,26 +184,26 @@
         message: AcquireRequest | ReleaseRequest | RenewRequest | WithdrawRequest,
     ) -> Result[AcquireAnswer, Refusal]:
         """Answer a host, or oneself, for a target whose queue is kept here."""
-        keeper = self.queues.keeper(name)
-        if keeper.is_error():
-            return keeper
+        manager = self.queues.manager(name)
+        if manager.is_error():
+            return manager
         match message:
             case AcquireRequest():
-                return Ok(keeper.ok.acquire(message))
+                return Ok(manager.ok.acquire(message))
             case ReleaseRequest():
-                return Ok(keeper.ok.release(message))
+                return Ok(manager.ok.release(message))
             case RenewRequest(calls):
-                keeper.ok.renew(calls)
+                manager.ok.renew(calls)
             case WithdrawRequest(ticket_id):
-                keeper.ok.withdraw(ticket_id)
+                manager.ok.withdraw(ticket_id)
         return Ok(AcquireAnswer(False))
 
-    def _run(self) -> None:
-        while not self._stop.wait(RENEW_SECONDS):
+    def _renew_grants(self) -> None:
+        while not self._stop.wait(RENEW_INTERVAL_SECONDS):
             with self._lock:
                 grants = list(self._grants.values())
             by_target: dict[Target, list[AcquireRequest]] = {}
             for target, call in grants:
                 by_target.setdefault(target, []).append(call)
             for target, calls in by_target.items():
-                self._ask(target, "renew", RenewRequest(tuple(calls)))
+                self._send(target, "renew", RenewRequest(tuple(calls)))
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_queue_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_queue_manager.py
@@ -21,12 +21,12 @@
     ReleaseRequest,
 )
 
-GRANT_SECONDS = 15.0
+GRANT_LEASE_SECONDS = 15.0
 """Life of a grant that isn't renewed: a host that dies holds up its places at a target
 for so long. Grants are renewed three times within it."""
 
 
-class QueueKeeper:
+class QueueManager:
     """A `TargetQueue` shared by threads.
 
     Parameters
@@ -37,28 +37,28 @@
     def __init__(self, queue: TargetQueue) -> None:
         self.queue = queue
         self._changed = threading.Condition()
-        self._decided: dict[str, Decision] = {}
+        self._decisions: dict[str, Decision] = {}
 
     @classmethod
-    def from_target(cls, target: Target) -> "QueueKeeper":
+    def from_target(cls, target: Target) -> "QueueManager":
         """Return an empty queue with the settings of the target's kind."""
         match target.kind:
             case TargetKind.ENGINE:
-                cfg = AdmissionConfig(lease_seconds=GRANT_SECONDS)
+                cfg = AdmissionConfig(lease_seconds=GRANT_LEASE_SECONDS)
             case TargetKind.SERVICE:
                 service = AdmissionConfig.for_service()
-                cfg = replace(service, lease_seconds=GRANT_SECONDS)
-        keeper = cls(TargetQueue.from_config(cfg, target.max_concurrency))
+                cfg = replace(service, lease_seconds=GRANT_LEASE_SECONDS)
+        manager = cls(TargetQueue.from_config(cfg, target.max_concurrency))
         if target.leaving:
-            keeper.queue.set_leaving(time.monotonic())
-        return keeper
+            manager.queue.set_leaving(time.monotonic())
+        return manager
 
     def acquire(self, req: AcquireRequest) -> AcquireAnswer:
         """Offer a call and wait for its turn, at most as long as it asked for."""
         now = time.monotonic()
         ends_at = now + req.wait_seconds
         with self._changed:
-            decision = self._decided.pop(req.ticket_id, None)
+            decision = self._decisions.pop(req.ticket_id, None)
             if decision is None:
                 decision = self.queue.offer(now, _ticket(req, now))
             while isinstance(decision, Queued):
@@ -66,21 +66,21 @@
                 if left <= 0:
                     return self._answer(None)
                 self._changed.wait(left)
-                decision = self._decided.pop(req.ticket_id, decision)
+                decision = self._decisions.pop(req.ticket_id, decision)
             return self._answer(decision)
 
     def release(self, req: ReleaseRequest) -> AcquireAnswer:
         """End an admitted call; others may go on."""
         with self._changed:
             now = time.monotonic()
-            self._tell(self.queue.release(now, req.ticket_id, req.outcome))
+            self._publish_decisions(self.queue.release(now, req.ticket_id, req.outcome))
             return self._answer(None)
 
     def withdraw(self, ticket_id: str) -> None:
         """Forget a call that nobody waits for any more."""
         with self._changed:
-            self._decided.pop(ticket_id, None)
-            self._tell(self.queue.withdraw(time.monotonic(), ticket_id))
+            self._decisions.pop(ticket_id, None)
+            self._publish_decisions(self.queue.withdraw(time.monotonic(), ticket_id))
 
     def renew(self, calls: tuple[AcquireRequest, ...]) -> None:
         """Prolong the grants of calls that still run."""
@@ -92,34 +92,36 @@
     def end_program(self, program: str) -> None:
         """Give a program's room at the target to those that wait to start."""
         with self._changed:
-            self._tell(self.queue.end_program(time.monotonic(), program))
+            self._publish_decisions(self.queue.end_program(time.monotonic(), program))
 
     def tick(self) -> None:
         """Let time pass: expire grants and refuse what comes too late."""
         with self._changed:
-            self._tell(self.queue.tick(time.monotonic()))
+            self._publish_decisions(self.queue.tick(time.monotonic()))
 
     def report_load(self, report: LoadReport) -> None:
         """Pass on the engine's own load report."""
         with self._changed:
-            self._tell(self.queue.report_load(time.monotonic(), report))
+            self._publish_decisions(self.queue.report_load(time.monotonic(), report))
 
     def set_target(self, target: Target) -> None:
         """Take over an edit of the target's document."""
         with self._changed:
             now = time.monotonic()
-            self._tell(self.queue.set_leaving(now, target.leaving))
+            self._publish_decisions(self.queue.set_leaving(now, target.leaving))
             if not target.leaving:
-                self._tell(self.queue.set_max_concurrency(now, target.max_concurrency))
+                self._publish_decisions(
+                    self.queue.set_max_concurrency(now, target.max_concurrency)
+                )
 
     def n_queued(self) -> int:
         """Return how many calls wait."""
         with self._changed:
             return self.queue.snapshot(time.monotonic()).queued
 
-    def _tell(self, decisions: tuple[Decision, ...]) -> None:
+    def _publish_decisions(self, decisions: tuple[Decision, ...]) -> None:
         for decision in decisions:
-            self._decided[decision.ticket_id] = decision
+            self._decisions[decision.ticket_id] = decision
         if decisions:
             self._changed.notify_all()
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_queue_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_queue_service.py
@@ -15,12 +15,12 @@
 from swifttide_daemon.configuration import ConfigService
 from swifttide_daemon.membership import MembershipService
 from swifttide_daemon.targets._engine_client import EngineClient
-from swifttide_daemon.targets._queue_keeper import QueueKeeper
+from swifttide_daemon.targets._queue_manager import QueueManager
 
 log = logging.getLogger(__name__)
 
-TICK_SECONDS = 0.5
-NOT_HOLDER_SECONDS = 0.2
+TICK_INTERVAL_SECONDS = 0.5
+NOT_HOLDER_RETRY_SECONDS = 0.2
 
 
 class QueueService:
@@ -43,12 +43,12 @@
         self.membership = membership
         self.config = config
         self.engines = engines
-        self._keepers: dict[str, tuple[int, QueueKeeper]] = {}
+        self._managers: dict[str, tuple[int, QueueManager]] = {}
         self._token_bytes: dict[str, float] = {}
         self._lock = threading.Lock()
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
-        config.listen(self._on_changes)
+        config.listen(self._on_config_changes)
 
     def start(self) -> None:
         """Let the queues' time pass from now on."""
@@ -58,7 +58,7 @@
         """Stop the clock of the queues."""
         self._stop.set()
 
-    def keeper(self, name: str) -> Result[QueueKeeper, Refusal]:
+    def manager(self, name: str) -> Result[QueueManager, Refusal]:
         """Return a target's queue, if this host holds the target's slot."""
         epoch = self.membership.epoch(SlotKind.TARGET, name)
         if epoch is None:
@@ -67,51 +67,51 @@
         if target is None:
             return Error(Refusal(Reason.NO_TARGET, f"no target {name!r}"))
         with self._lock:
-            known = self._keepers.get(name)
+            known = self._managers.get(name)
             # Under another epoch the queue may have been elsewhere in between, and
             # its grants are no longer the whole truth.
             if known is None or known[0] != epoch:
-                known = self._keepers[name] = (epoch, QueueKeeper.from_target(target))
+                known = self._managers[name] = (epoch, QueueManager.from_target(target))
             return Ok(known[1])
 
-    def lengths(self) -> dict[str, int]:
+    def queue_lengths(self) -> dict[str, int]:
         """Return the calls that wait, by target."""
-        return {name: keeper.n_queued() for name, keeper in self._held()}
+        return {name: manager.n_queued() for name, manager in self._queues()}
 
     def end_program(self, target: str, program: str) -> None:
         """Count a program's memory at a target as free."""
         with self._lock:
-            known = self._keepers.get(target)
+            known = self._managers.get(target)
         if known is not None:
             known[1].end_program(program)
 
-    def note_token_bytes(self, target: str, n_bytes: float) -> None:
+    def set_token_bytes(self, target: str, n_bytes: float) -> None:
         """Note the bytes of a target's memory that a token takes."""
         self._token_bytes[target] = n_bytes
 
-    def _held(self) -> list[tuple[str, QueueKeeper]]:
+    def _queues(self) -> list[tuple[str, QueueManager]]:
         with self._lock:
-            return [(name, keeper) for name, (_, keeper) in self._keepers.items()]
+            return [(name, manager) for name, (_, manager) in self._managers.items()]
 
     def _run(self) -> None:
-        while not self._stop.wait(TICK_SECONDS):
-            for name, keeper in self._held():
+        while not self._stop.wait(TICK_INTERVAL_SECONDS):
+            for name, manager in self._queues():
                 try:
                     if self.membership.epoch(SlotKind.TARGET, name) is None:
-                        self._drop(name)
+                        self._remove_queue(name)
                         continue
-                    self._report_load(name, keeper)
-                    keeper.tick()
+                    self._report_load(name, manager)
+                    manager.tick()
                 except Exception:
                     # One odd target must not stop the queues of the others.
                     log.exception("queue step failed", extra={"target": name})
 
-    def _drop(self, name: str) -> None:
+    def _remove_queue(self, name: str) -> None:
         """Forget a queue that another host keeps now; those who wait ask there."""
         with self._lock:
-            self._keepers.pop(name, None)
+            self._managers.pop(name, None)
 
-    def _report_load(self, name: str, keeper: QueueKeeper) -> None:
+    def _report_load(self, name: str, manager: QueueManager) -> None:
         target = self.config.state.get(DocumentKind.TARGET, name)
         if target is None or target.kind is not TargetKind.ENGINE:
             return
@@ -119,21 +119,21 @@
         if load is not None:
             # Reports carry no time of measurement; they count as just measured.
             now = time.monotonic()
-            keeper.report_load(self._report(name, load, now))
+            manager.report_load(self._load_report(name, load, now))
 
-    def _report(self, name: str, load: dict[str, Any], now: float) -> LoadReport:
+    def _load_report(self, name: str, load: dict[str, Any], now: float) -> LoadReport:
         token_bytes = self._token_bytes.get(name)
         capacity = 0.0
         if token_bytes:
             capacity = load["cache_capacity_bytes"] / token_bytes
         return LoadReport(now, load["running"], load["waiting"], capacity)
 
-    def _on_changes(self, changes: list[Change]) -> None:
+    def _on_config_changes(self, changes: list[Change]) -> None:
         for change in changes:
             if change.kind is not DocumentKind.TARGET:
                 continue
             target = self.config.state.get(DocumentKind.TARGET, change.name)
-            known = self._keepers.get(change.name)
+            known = self._managers.get(change.name)
             if isinstance(target, Target) and known is not None:
                 known[1].set_target(target)
 
@@ -143,5 +143,5 @@
     return Refusal(
         Reason.NOT_HOLDER,
         f"this host doesn't hold the {what}'s slot",
-        retry_after_seconds=NOT_HOLDER_SECONDS,
+        retry_after_seconds=NOT_HOLDER_RETRY_SECONDS,
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_service_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_service_client.py
@@ -11,9 +11,9 @@
 from swifttide_daemon.targets._service_answer import ServiceAnswer
 from swifttide_daemon.transport import make_pool, verdict_of
 
-REQUEST_ID = "X-Request-Id"
-OTHER_CONTENT = "application/octet-stream"
-_PLAIN = re.compile(r"[\x20-\x7e]{1,200}")
+REQUEST_ID_HEADER = "X-Request-Id"
+DEFAULT_CONTENT_TYPE = "application/octet-stream"
+_PRINTABLE_ASCII = re.compile(r"[\x20-\x7e]{1,200}")
 
 
 class ServiceClient:
@@ -42,8 +42,8 @@
         path: str,
         body: bytes,
         headers: dict[str, str],
-        seconds: float,
-        reuse: bool,
+        timeout_seconds: float,
+        reuse_connection: bool,
     ) -> ServiceAnswer:
         """Send one call.
 
@@ -55,9 +55,9 @@
         body : bytes
         headers : dict
             Include the request id, which an answer may echo.
-        seconds : float
+        timeout_seconds : float
             Time for the answer.
-        reuse : bool
+        reuse_connection : bool
             Whether a kept connection may carry it. On a kept connection that the
             other end has just closed nobody can tell whether the call arrived; a
             new one leaves no such doubt, so calls that may not be repeated get one.
@@ -67,14 +67,16 @@
         TargetFailure
             When there is no whole answer to this very call.
         """
-        pool = self.pool if reuse else make_pool(1, 1)
+        pool = self.pool if reuse_connection else make_pool(1, 1)
         try:
             answer = pool.request(
                 "POST",
                 f"{target.url}/{path}",
                 body=body,
                 headers=headers,
-                timeout=urllib3.Timeout(connect=self.connect_seconds, read=seconds),
+                timeout=urllib3.Timeout(
+                    connect=self.connect_seconds, read=timeout_seconds
+                ),
             )
         except (urllib3.exceptions.HTTPError, OSError) as exc:
             verdict = verdict_of(exc)
@@ -82,13 +84,13 @@
                 Reason.TARGET_FAILED,
                 f"no answer of the service ({type(exc).__name__})",
                 verdict,
-                broke=verdict is Verdict.MAY_HAVE_RUN,
+                connection_broke=verdict is Verdict.MAY_HAVE_RUN,
             ) from exc
         finally:
-            if not reuse:
+            if not reuse_connection:
                 pool.clear()
-        echoed = answer.headers.get(REQUEST_ID)
-        if echoed is not None and echoed != headers[REQUEST_ID]:
+        echoed = answer.headers.get(REQUEST_ID_HEADER)
+        if echoed is not None and echoed != headers[REQUEST_ID_HEADER]:
             raise TargetFailure(
                 Reason.TARGET_FAILED,
                 "got an answer to another request",
@@ -104,4 +106,4 @@
     which a target would add headers of its own to our answer.
     """
     value = answer.headers.get("Content-Type", "")
-    return value if _PLAIN.fullmatch(value) else OTHER_CONTENT
+    return value if _PRINTABLE_ASCII.fullmatch(value) else DEFAULT_CONTENT_TYPE
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_target_board.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_target_selector.py
@@ -25,17 +25,17 @@
 )
 from swifttide_daemon.configuration import ConfigService
 
-PROBE_SECONDS = 30.0
-VIEW_SECONDS = 0.1
+PROBE_TIMEOUT_SECONDS = 30.0
+VIEW_REBUILD_SECONDS = 0.1
 
 
 @dataclass(slots=True)
-class _Known:
+class _TargetState:
     view: TargetView
     breaker: CircuitBreaker
 
 
-class TargetBoard:
+class TargetSelector:
     """Views of targets from their documents, queues and failures.
 
     Parameters
@@ -53,16 +53,16 @@
         self.config = config
         self.router = router
         self.rng = rng
-        self._known: dict[str, _Known] = {}
+        self._states: dict[str, _TargetState] = {}
         self._views: tuple[TargetView, ...] = ()
-        self._changed = False
-        self._changed_at_once = True
+        self._has_changes = False
+        self._must_rebuild_now = True
         self._built_at = 0.0
         self._lock = threading.Lock()
-        config.listen(lambda _changes: self._forget_views())
+        config.listen(lambda _changes: self._request_rebuild())
 
     @classmethod
-    def from_config(cls, config: ConfigService) -> "TargetBoard":
+    def from_config(cls, config: ConfigService) -> "TargetSelector":
         """Return a board with draws of its own."""
         rng = random.Random()
         return cls(config, Router.from_config(RoutingConfig(), rng), rng)
@@ -75,49 +75,49 @@
         """Choose a target for a call and count it as sent there."""
         now = time.monotonic()
         with self._lock:
-            if self._must_build(now):
+            if self._must_rebuild(now):
                 self._views = self._build_views(now)
-                self._changed = self._changed_at_once = False
+                self._has_changes = self._must_rebuild_now = False
                 self._built_at = now
             choice = self.router.choose(now, req, self._views)
             if isinstance(choice, Choice):
                 self.router.dispatched(now, choice.target)
             return choice
 
-    def ask(self, name: str) -> BreakerPermit | Blocked:
+    def acquire_breaker_permit(self, name: str) -> BreakerPermit | Blocked:
         """Ask the target's circuit breaker; a pass must be reported or withdrawn."""
         with self._lock:
-            return self._known[name].breaker.acquire(time.monotonic())
+            return self._states[name].breaker.acquire(time.monotonic())
 
-    def report(self, name: str, passed: BreakerPermit, ok: bool) -> None:
+    def report_result(self, name: str, permit: BreakerPermit, ok: bool) -> None:
         """Report the result of a call that was sent."""
         with self._lock:
-            if name in self._known:
-                self._known[name].breaker.report(time.monotonic(), passed, ok)
-                self._changed_at_once = self._changed_at_once or not ok
-                self._changed = True
+            if name in self._states:
+                self._states[name].breaker.report(time.monotonic(), permit, ok)
+                self._must_rebuild_now = self._must_rebuild_now or not ok
+                self._has_changes = True
 
-    def withdraw(self, name: str, passed: BreakerPermit) -> None:
+    def withdraw_permit(self, name: str, permit: BreakerPermit) -> None:
         """Say that a call wasn't sent after all."""
         with self._lock:
-            if name in self._known:
-                self._known[name].breaker.withdraw(time.monotonic(), passed)
+            if name in self._states:
+                self._states[name].breaker.withdraw(time.monotonic(), permit)
 
-    def finished(self, name: str) -> None:
+    def count_finished(self, name: str) -> None:
         """Count a call that was answered, refused or withdrawn."""
         with self._lock:
             self.router.finished(time.monotonic(), name)
 
-    def learn(self, name: str, snapshot: QueueSnapshot | None) -> None:
+    def update_queue_state(self, name: str, snapshot: QueueSnapshot | None) -> None:
         """Take in the state of a target's queue that came with an answer."""
         if snapshot is None:
             return
         with self._lock:
-            known = self._known.get(name)
-            if known is None:
+            state = self._states.get(name)
+            if state is None:
                 return
-            known.view = replace(
-                known.view,
+            state.view = replace(
+                state.view,
                 measured_at=time.monotonic() - snapshot.measured_at,
                 running=snapshot.running,
                 queued=snapshot.queued,
@@ -125,57 +125,57 @@
                 service_seconds=snapshot.service_seconds,
                 drain_per_second=snapshot.drain_per_second,
                 entry_wait_seconds=snapshot.entry_wait_seconds,
-                leaving=known.view.leaving or snapshot.leaving,
+                leaving=state.view.leaving or snapshot.leaving,
             )
-            self._changed = True
+            self._has_changes = True
 
-    def _forget_views(self) -> None:
+    def _request_rebuild(self) -> None:
         with self._lock:
-            self._changed_at_once = True
+            self._must_rebuild_now = True
 
-    def _must_build(self, now: float) -> bool:
+    def _must_rebuild(self, now: float) -> bool:
         """Return whether the views are too old to choose by.
 
         Edits and failures count at once. Loads come with every answer, seconds late
         anyway: building and indexing 600 views for each would cost more than the
         choice itself.
         """
-        if self._changed_at_once:
+        if self._must_rebuild_now:
             return True
-        changed = self._changed or self._any_open()
-        return changed and now - self._built_at >= VIEW_SECONDS
+        changed = self._has_changes or self._any_unavailable()
+        return changed and now - self._built_at >= VIEW_REBUILD_SECONDS
 
-    def _any_open(self) -> bool:
+    def _any_unavailable(self) -> bool:
         return any(not view.alive for view in self._views)
 
     def _build_views(self, now: float) -> tuple[TargetView, ...]:
         targets = {target.name: target for target in self.config.targets()}
-        for name in set(self._known) - set(targets):
-            del self._known[name]
+        for name in set(self._states) - set(targets):
+            del self._states[name]
         for name, target in targets.items():
-            known = self._known.get(name)
-            if known is None:
-                known = self._known[name] = self._make_known(target, now)
-            known.view = replace(
-                known.view,
+            state = self._states.get(name)
+            if state is None:
+                state = self._states[name] = self._new_state(target, now)
+            state.view = replace(
+                state.view,
                 zone=target.zone,
                 serves=(target.serves,),
                 leaving=target.leaving,
-                alive=_may_try(known.breaker, now),
+                alive=_admits_calls(state.breaker, now),
             )
-        return tuple(known.view for known in self._known.values())
+        return tuple(state.view for state in self._states.values())
 
-    def _make_known(self, target: Target, now: float) -> _Known:
+    def _new_state(self, target: Target, now: float) -> _TargetState:
         view = TargetView(
             name=target.name,
             zone=target.zone,
             serves=(target.serves,),
             limit=target.max_concurrency,
         )
-        return _Known(view, CircuitBreaker(now, PROBE_SECONDS, self.rng))
+        return _TargetState(view, CircuitBreaker(now, PROBE_TIMEOUT_SECONDS, self.rng))
 
 
-def _may_try(breaker: CircuitBreaker, now: float) -> bool:
+def _admits_calls(breaker: CircuitBreaker, now: float) -> bool:
     """Return whether the breaker would let a call pass, without asking for one."""
     match breaker.state:
         case Closed():
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/tests/test_queue_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/tests/test_queue_manager.py
@@ -2,12 +2,12 @@
 
 from swifttide_core.documents import Target, TargetKind
 from swifttide_daemon.targets import AcquireRequest
-from swifttide_daemon.targets._queue_keeper import QueueKeeper
+from swifttide_daemon.targets._queue_manager import QueueManager
 
 TARGET = Target("t", TargetKind.SERVICE, "z", "http://127.0.0.1:1", "s")
 
 
-def call(ticket_id):
+def make_request(ticket_id):
     return AcquireRequest(
         ticket_id=ticket_id,
         customer="c",
@@ -27,17 +27,17 @@
 
 
 class TestRenew:
-    def test_call_that_runs_for_long(self):
+    def test_renewed_call_stays_admitted(self):
         """A stream runs longer than a grant lives. Its host renews the grant; a fault
         there would let the queue admit more calls than the target can take.
         """
-        keeper = QueueKeeper.from_target(TARGET)
-        assert keeper.acquire(call("a")).admitted
-        keeper.renew((call("a"),))
-        assert keeper.acquire(call("a")).admitted
+        manager = QueueManager.from_target(TARGET)
+        assert manager.acquire(make_request("a")).admitted
+        manager.renew((make_request("a"),))
+        assert manager.acquire(make_request("a")).admitted
 
-    def test_holder_that_took_the_queue_over(self):
+    def test_new_holder_counts_renewed_calls(self):
         """The former holder died. The new one must count the calls that run."""
-        keeper = QueueKeeper.from_target(TARGET)
-        keeper.renew((call("a"), call("b")))
-        assert keeper.acquire(call("c")).snapshot.running == 3
+        manager = QueueManager.from_target(TARGET)
+        manager.renew((make_request("a"), make_request("b")))
+        assert manager.acquire(make_request("c")).snapshot.running == 3
