--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/__init__.py
@@ -1,4 +1,8 @@
-"""Targets: choice, admission, and the calls themselves."""
+"""Targets: selection, admission to their queues, and requests to them.
+
+Model engines and plain services are targets. The host that holds a target's slot keeps
+its queue; all hosts ask it for admission before they send a call.
+"""
 
 from swifttide_daemon.targets._engine_client import EngineClient
 from swifttide_daemon.targets._engine_events import (
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_engine_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_engine_client.py
@@ -1,4 +1,8 @@
-"""Chat turns at a model engine."""
+"""Client of the HTTP protocol of model engines.
+
+Streams the answers of chat requests, resuming a broken stream on new connections, and
+sends the control requests for models, load reports and caches.
+"""
 
 import time
 from collections.abc import Callable, Iterator
@@ -20,15 +24,15 @@
 
 TRANSPORT_ERRORS = (urllib3.exceptions.HTTPError, OSError)
 MAX_RESUMES = 20
-"""Connections tried in a row without a new event before the target is given up."""
+"""Consecutive connections without a new event after which the stream has failed."""
 
 CONTROL_TIMEOUT_SECONDS = 2.0
 NOT_LOADED_STATUS = 404
-"""What an engine answers to a request for a model that it hasn't loaded."""
+"""Status of an engine for a request to a model that it has not loaded."""
 
 
 class EngineClient:
-    """Calls of an engine's protocol.
+    """Sends requests to engines.
 
     Parameters
     ----------
@@ -36,8 +40,8 @@
     connect_seconds : float
         Timeout of a new connection.
     max_gap_seconds : float
-        Silence within a stream after which a NEW connection is tried: something
-        between the two ends may have lost track of the old one.
+        Longest time in seconds without data from a stream. After it, a new connection
+        is tried, since a component between both ends may have lost the old one.
     """
 
     def __init__(
@@ -49,7 +53,7 @@
 
     @classmethod
     def from_settings(cls, timeouts: TimeoutSettings) -> "EngineClient":
-        """Return a client with the settings' timeouts."""
+        """Return a client with the timeouts of the settings."""
         return cls(make_pool(128), timeouts.connect_seconds, timeouts.token_gap_seconds)
 
     def chat(
@@ -61,26 +65,26 @@
         deadline: float,
         is_wanted: Callable[[], bool],
     ) -> Iterator[EngineText | EngineDone]:
-        """Run a turn and yield its events, over as many connections as it takes.
+        """Run a chat request and yield its events, resuming it on new connections.
 
         Parameters
         ----------
         target : Target
         request_id : str
-            Answers that don't echo it are not believed.
+            Id that each event must echo; other answers raise `TargetFailure`.
         request_body : dict
-            Body of the request.
+            JSON body of the request.
         headers : dict
-            Such as the fencing number and the trace context.
+            Further headers, such as the fencing token and the trace context.
         deadline : float
-            Monotonic seconds after which the stream is given up.
+            Monotonic time in seconds after which the stream is not resumed.
         is_wanted : callable
-            Asked between events; False ends the stream early.
+            Called after each event and before each resume; False cancels the request.
 
         Raises
         ------
         TargetFailure
-            When there is no whole answer.
+            If there is no complete answer.
         """
         headers = {**headers, "X-Request-Id": request_id}
         body = msgspec.json.encode(request_body)
@@ -98,7 +102,7 @@
                     if event.index < position:
                         continue
                     if event.index > position:
-                        raise _invalid_answer("an event is missing")
+                        raise _invalid_answer("event missing in the stream")
                     position += 1
                     resumes = 0
                     yield event
@@ -117,28 +121,28 @@
             answer = self._resume_stream(target, request_id, position, headers, broken)
 
     def cancel(self, target: Target, request_id: str) -> None:
-        """Tell the engine to stop a stream; no answer is needed."""
+        """Order the engine to stop a stream; a failure is ignored."""
         self._send_order(
             "DELETE", target, f"/v1/streams/{quote(request_id, safe='')}", {}
         )
 
     def load(self, target: Target) -> dict[str, Any] | None:
-        """Return the engine's load report, or None."""
+        """Return the load report of the engine, or None if it cannot be read."""
         return self._get_json(target, "/v1/load")
 
     def cache_bytes(self, target: Target) -> dict[str, int] | None:
-        """Return the bytes that the engine holds for each program, or None."""
+        """Return the bytes of cache by program, or None if they cannot be read."""
         listing = self._get_json(target, "/v1/cache")
         return None if listing is None else listing["programs"]
 
     def release_cache(self, target: Target, program: str, fencing: int) -> bool:
-        """Order the engine to drop a program's cache; return whether it did."""
+        """Order the engine to drop a program's cache; return whether it is gone."""
         path = f"/v1/cache/{quote(program, safe='')}"
         status = self._send_order("DELETE", target, path, {"X-Fencing": str(fencing)})
         return status in (200, 204, 404)
 
     def load_model(self, target: Target, model: str, fencing: int) -> bool:
-        """Order the engine to load a model; return whether it has."""
+        """Order the engine to load a model; return whether it is loaded."""
         body = msgspec.json.encode({"model": model})
         headers = {"X-Fencing": str(fencing), "Content-Type": "application/json"}
         return self._send_order("POST", target, "/v1/models", headers, body) == 200
@@ -146,13 +150,13 @@
     def export_cache(
         self, target: Target, program: str, name: str, fencing: int
     ) -> bool:
-        """Order the engine to write a program's cache to an object."""
+        """Order the engine to export a program's cache to an object in the store."""
         return self._transfer_cache(target, program, "export", name, fencing)
 
     def import_cache(
         self, target: Target, program: str, name: str, fencing: int
     ) -> bool:
-        """Order the engine to read a program's cache from an object."""
+        """Order the engine to import a program's cache from an object in the store."""
         return self._transfer_cache(target, program, "import", name, fencing)
 
     def _transfer_cache(
@@ -175,8 +179,12 @@
         try:
             return self._open_stream("GET", target, path, None, headers)
         except TargetFailure as failure:
-            cause = type(broken).__name__ if broken else "the stream ended early"
-            # The first request was under way, whatever this attempt met.
+            cause = (
+                type(broken).__name__
+                if broken
+                else "stream ended before the answer was complete"
+            )
+            # The first request was sent, whatever the result of this attempt.
             raise TargetFailure(
                 Reason.TARGET_FAILED,
                 f"{cause}; then {failure.detail}",
@@ -209,15 +217,15 @@
                 return self._recover_stream(target, headers, exc)
             raise TargetFailure(
                 Reason.TARGET_FAILED,
-                f"no answer of the target ({type(exc).__name__})",
+                f"no answer from the target ({type(exc).__name__})",
                 verdict,
                 connection_broke=verdict is Verdict.MAY_HAVE_RUN,
             ) from exc
         if answer.status == 200:
             return answer
-        detail = f"the target answered {answer.status}"
+        detail = f"target answered with status {answer.status}"
         answer.close()
-        # 4xx and 503 say that the engine took in nothing.
+        # With 4xx and 503 the engine has not accepted the request.
         refused = answer.status < 500 or answer.status == 503
         raise TargetFailure(
             Reason.TARGET_FAILED,
@@ -229,7 +237,7 @@
     def _recover_stream(
         self, target: Target, headers: dict[str, str], exc: Exception
     ) -> urllib3.BaseHTTPResponse:
-        """Look for a stream whose first answer never came, on a new connection."""
+        """Open a stream whose first response was lost again, on a new connection."""
         return self._resume_stream(target, headers["X-Request-Id"], 0, headers, exc)
 
     def _get_json(self, target: Target, path: str) -> dict[str, Any] | None:
@@ -272,7 +280,7 @@
 def _decode_events(
     answer: urllib3.BaseHTTPResponse, request_id: str
 ) -> Iterator[EngineText | EngineDone]:
-    """Decode server-sent events; a cut stream ends without `EngineDone`."""
+    """Decode server-sent events; an incomplete stream ends without `EngineDone`."""
     rest = b""
     for piece in answer.stream(amt=None):
         rest += piece
@@ -286,9 +294,9 @@
     try:
         event = msgspec.json.decode(data)
         if event["request_id"] != request_id:
-            # Two answers were swapped on the way; passing this one on would show a
-            # customer somebody else's text.
-            raise _invalid_answer("an answer to another request")
+            # Two answers were swapped in transit. Passing this one on would disclose
+            # the text of another customer.
+            raise _invalid_answer("event belongs to another request")
         if event.get("done"):
             usage = event["usage"]
             return EngineDone(
@@ -298,7 +306,9 @@
             )
         return EngineText(event["index"], event["choices"][0]["delta"]["content"])
     except (msgspec.MsgspecError, KeyError, IndexError, TypeError) as exc:
-        raise _invalid_answer(f"an event can't be read ({type(exc).__name__})") from exc
+        raise _invalid_answer(
+            f"invalid event in the stream ({type(exc).__name__})"
+        ) from exc
 
 
 def _invalid_answer(detail: str) -> TargetFailure:
@@ -306,10 +316,12 @@
 
 
 def _cancelled() -> TargetFailure:
-    return TargetFailure(Reason.TIMEOUT, "the call was cancelled", Verdict.MAY_HAVE_RUN)
+    return TargetFailure(Reason.TIMEOUT, "call cancelled", Verdict.MAY_HAVE_RUN)
 
 
 def _timed_out() -> TargetFailure:
     return TargetFailure(
-        Reason.TIMEOUT, "the target didn't finish in time", Verdict.MAY_HAVE_RUN
+        Reason.TIMEOUT,
+        "target did not finish before the deadline",
+        Verdict.MAY_HAVE_RUN,
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_engine_events.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_engine_events.py
@@ -1,4 +1,4 @@
-"""What an engine's stream says."""
+"""Events of an engine's stream, and the failure of a request to a target."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineText:
-    """A piece of text.
+    """A piece of generated text.
 
     Parameters
     ----------
     index : int
-        Number of the event, from 0; a resumed stream goes on after the last one.
+        Number of the event, from 0. A resumed stream continues after the last one.
     text : str
     """
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineDone:
-    """The answer is whole."""
+    """End of a complete answer, with its token counts."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -30,19 +30,19 @@
 
 
 class TargetFailure(Exception):
-    """A target didn't give a whole answer to this very request.
+    """A target did not give a complete answer to a request.
 
     Parameters
     ----------
     reason : Reason
     detail : str
     verdict : Verdict
-        What is known of the request.
+        Whether the request ran, did not run, or may have run.
     connection_broke : bool
-        Whether the connection broke while the request ran, which a crash of the
-        target would explain.
+        Whether the connection broke while the request ran, so that the target may
+        have crashed.
     model_not_loaded : bool
-        Whether the engine hasn't loaded the model that its document says it serves.
+        Whether the engine has not loaded the model that its document says it serves.
     """
 
     def __init__(
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_grant_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_grant_client.py
@@ -1,4 +1,10 @@
-"""Admission at targets, wherever their queues are kept."""
+"""Admission of calls to targets, by the hosts that keep their queues.
+
+A call is offered to its target's queue and polled until it is admitted or refused, or
+its deadline passes. Grants of admitted calls are renewed every `RENEW_INTERVAL_SECONDS`
+and released when the calls end. While a queue has no reachable holder, for example
+during a takeover, calls wait for a limited time instead of being refused.
+"""
 
 import threading
 import time
@@ -24,11 +30,12 @@
 from swifttide_daemon.targets._queue_service import QueueService
 
 RENEW_INTERVAL_SECONDS = 5.0
-"""A third of a grant's life: two renewals may be lost."""
+"""A third of the lease of a grant, so that two renewals in a row can be lost."""
 
 MAX_POLL_SECONDS = 2.0
-"""How long a holder may hold an answer back: a connection that has gone silent is
-noticed after this time, and the call asks again under the same id."""
+"""Longest time for which the holder may delay the answer of a queued call. A dead
+connection is noticed after about this time; the call then asks again with the same
+id."""
 
 HOLDER_RETRY_SECONDS = 0.2
 N_RELEASE_THREADS = 4
@@ -37,15 +44,15 @@
 
 
 class GrantClient:
-    """Asks for admission, releases it, and renews what is held.
+    """Acquires, renews and releases grants of targets.
 
     Parameters
     ----------
     membership : MembershipService
     queues : QueueService
-        For targets whose queue is kept here.
+        Queues of the targets whose slots this host holds.
     peers : PeerClient
-        For the others.
+        Connections to the holders of all other queues.
     """
 
     def __init__(
@@ -61,18 +68,18 @@
         self._thread = threading.Thread(target=self._renew_grants, daemon=True)
 
     def start(self) -> None:
-        """Renew grants from now on."""
+        """Start the thread that renews grants."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop renewing; releases that are on their way are sent."""
+        """Stop renewing grants, and wait until pending releases are sent."""
         self._stop.set()
         self._release_pool.shutdown(wait=True)
 
     def acquire(
         self, target: Target, req: AcquireRequest
     ) -> Result[AcquireAnswer, Refusal]:
-        """Ask once; the answer may be "still queued"."""
+        """Ask once for admission; the call may still be queued afterwards."""
         answer = self._send(target, "acquire", req)
         if answer.is_error():
             return answer
@@ -85,10 +92,10 @@
     def wait(
         self, target: Target, req: AcquireRequest, deadline: float
     ) -> Result[AcquireAnswer, Refusal]:
-        """Ask until admitted or refused.
+        """Ask until the call is admitted or refused, or its deadline passes.
 
-        A queue that is on its way to another holder refuses nobody: the call asks
-        again until its deadline.
+        While the queue moves to another holder, nobody can admit the call; it asks
+        again for a limited time, longer in the own zone than in others.
         """
         unanswered_until = min(
             deadline, time.monotonic() + self._holder_timeout_seconds(target)
@@ -107,16 +114,16 @@
         return Error(
             Refusal(
                 Reason.DEADLINE,
-                "the call's time ran out before a target was free",
+                "the deadline of the call passed before a target was free",
                 retry_after_seconds=1.0,
             )
         )
 
     def _holder_timeout_seconds(self, target: Target) -> float:
-        """Return how long a queue without a holder is waited for.
+        """Return the time in seconds to wait for the holder of a queue.
 
-        In the own zone a takeover ends it; another zone may be cut off for long, and
-        there are other targets.
+        In the own zone, another host takes the queue over soon. Another zone may be
+        disconnected for long, and other targets can be tried.
         """
         own = target.zone == self.membership.me.zone
         return (
@@ -132,9 +139,9 @@
         outcome: Outcome,
         on_answer: Callable[[AcquireAnswer], None],
     ) -> None:
-        """End a grant, off the path of the call that is over.
+        """Release a grant in the background, so that the answer is not delayed.
 
-        If the message is lost the grant expires.
+        If the message is lost, the grant expires.
         """
         with self._lock:
             self._grants.pop(ticket_id, None)
@@ -152,7 +159,7 @@
             on_answer(answer.ok)
 
     def withdraw(self, target: Target, ticket_id: str) -> None:
-        """Give up a place in a queue."""
+        """Remove a queued call from its queue."""
         self._send(target, "withdraw", WithdrawRequest(ticket_id))
 
     def _send(
@@ -164,7 +171,7 @@
         holder = self.membership.holder(SlotKind.TARGET, target.name, target.zone)
         if holder is None:
             return Error(
-                Refusal(Reason.NOT_HOLDER, "nobody holds the target's queue yet")
+                Refusal(Reason.NOT_HOLDER, "no host holds the queue of the target yet")
             )
         if holder.host == self.membership.me.host:
             return self.answer(target.name, message)
@@ -183,7 +190,7 @@
         name: str,
         message: AcquireRequest | ReleaseRequest | RenewRequest | WithdrawRequest,
     ) -> Result[AcquireAnswer, Refusal]:
-        """Answer a host, or oneself, for a target whose queue is kept here."""
+        """Answer a request of any host for a queue that this host keeps."""
         manager = self.queues.manager(name)
         if manager.is_error():
             return manager
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_messages.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between a host that needs a target and the holder of its queue."""
+"""Messages between the host of a call and the host that keeps a target's queue."""
 
 from dataclasses import dataclass
 
@@ -8,26 +8,31 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquireRequest:
-    """A call that asks for admission; times are relative, clocks aren't compared.
+    """Request for admission of a call.
+
+    All times are durations in seconds, since the clocks of hosts are not compared.
 
     Parameters
     ----------
     ticket_id : str
-        The same on each further try.
+        Id of the attempt, repeated in each poll.
     customer, program : str
     weight : float
     urgency : int
     deadline_in_seconds : float
-        Until the program should be finished.
+        Time until the program should be finished.
     expected_tokens, attained_tokens : float
+        Expected cost of the call, and cost served to the program so far.
     context_tokens, expected_context_tokens : float
+        Tokens of the history after the call, and those that it is expected to reach.
     expected_remaining_seconds : float
+        Time until the expected end of the program; 0 when unknown.
     new_history : bool
-        Whether it is the first call of a sub-agent.
+        Whether this is the first call of a sub-agent, which has no cached history.
     waited_seconds : float
-        Since the call entered the system.
+        Time since the call arrived at the host that executes it.
     wait_seconds : float
-        How long the holder may hold the answer back while the call is queued.
+        Longest time for which the holder may delay the answer of a queued call.
     """
 
     ticket_id: str
@@ -48,17 +53,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquireAnswer:
-    """Admitted, refused, or still queued.
+    """Answer to a request for admission: admitted, refused or still queued.
 
     Parameters
     ----------
     admitted : bool
     refusal : Refusal or None
-        Final for this target.
+        Refusal by this target; None if the call is admitted or queued.
     try_elsewhere : bool
-        Whether another target may take the call at once.
+        Whether another target may admit the call now.
     snapshot : QueueSnapshot or None
-        For routing; `measured_at` is an age in seconds.
+        State of the queue, for routing. Its `measured_at` is an age in seconds.
     """
 
     admitted: bool
@@ -69,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRequest:
-    """An admitted call that ended."""
+    """Message that an admitted call has ended."""
 
     ticket_id: str
     outcome: Outcome
@@ -77,10 +82,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewRequest:
-    """Admitted calls that still run.
+    """Message that admitted calls are still running.
 
-    Whole, since a holder that has just taken the queue over knows none of them and
-    would admit a full limit beside them.
+    It has the complete requests, since a holder that has just taken over the queue does
+    not know them and would otherwise admit calls up to the limit in addition.
     """
 
     calls: tuple[AcquireRequest, ...]
@@ -88,6 +93,6 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawRequest:
-    """A call that nobody waits for any more."""
+    """Message that a queued call is no longer needed."""
 
     ticket_id: str
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_queue_manager.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_queue_manager.py
@@ -1,4 +1,8 @@
-"""The queue of one target at its holder, with the threads that wait in it."""
+"""Thread-safe admission queue of one target, at the host that holds its slot.
+
+`TargetQueue` decides which calls are admitted; this module serializes access to it and
+lets the threads of queued calls wait for their decisions.
+"""
 
 import threading
 import time
@@ -22,12 +26,12 @@
 )
 
 GRANT_LEASE_SECONDS = 15.0
-"""Life of a grant that isn't renewed: a host that dies holds up its places at a target
-for so long. Grants are renewed three times within it."""
+"""Lifetime of a grant without renewal. The grants of a host that crashed occupy their
+target for so long. Grants are renewed three times within it."""
 
 
 class QueueManager:
-    """A `TargetQueue` shared by threads.
+    """A `TargetQueue` for use by several threads.
 
     Parameters
     ----------
@@ -41,7 +45,7 @@
 
     @classmethod
     def from_target(cls, target: Target) -> "QueueManager":
-        """Return an empty queue with the settings of the target's kind."""
+        """Return an empty queue with the configuration for the target's kind."""
         match target.kind:
             case TargetKind.ENGINE:
                 cfg = AdmissionConfig(lease_seconds=GRANT_LEASE_SECONDS)
@@ -54,7 +58,7 @@
         return manager
 
     def acquire(self, req: AcquireRequest) -> AcquireAnswer:
-        """Offer a call and wait for its turn, at most as long as it asked for."""
+        """Queue a call and wait for the decision, for at most `req.wait_seconds`."""
         now = time.monotonic()
         ends_at = now + req.wait_seconds
         with self._changed:
@@ -70,42 +74,42 @@
             return self._answer(decision)
 
     def release(self, req: ReleaseRequest) -> AcquireAnswer:
-        """End an admitted call; others may go on."""
+        """Release the grant of a call that ended, which may admit other calls."""
         with self._changed:
             now = time.monotonic()
             self._publish_decisions(self.queue.release(now, req.ticket_id, req.outcome))
             return self._answer(None)
 
     def withdraw(self, ticket_id: str) -> None:
-        """Forget a call that nobody waits for any more."""
+        """Remove a call that is no longer needed."""
         with self._changed:
             self._decisions.pop(ticket_id, None)
             self._publish_decisions(self.queue.withdraw(time.monotonic(), ticket_id))
 
     def renew(self, calls: tuple[AcquireRequest, ...]) -> None:
-        """Prolong the grants of calls that still run."""
+        """Renew the grants of calls that are still running."""
         with self._changed:
             now = time.monotonic()
             for call in calls:
                 self.queue.renew(now, _ticket(call, now))
 
     def end_program(self, program: str) -> None:
-        """Give a program's room at the target to those that wait to start."""
+        """Free the cache of a program that ended for programs that wait to start."""
         with self._changed:
             self._publish_decisions(self.queue.end_program(time.monotonic(), program))
 
     def tick(self) -> None:
-        """Let time pass: expire grants and refuse what comes too late."""
+        """Expire grants, and refuse calls whose deadline cannot be met."""
         with self._changed:
             self._publish_decisions(self.queue.tick(time.monotonic()))
 
     def report_load(self, report: LoadReport) -> None:
-        """Pass on the engine's own load report."""
+        """Update the queue with a load report of the engine."""
         with self._changed:
             self._publish_decisions(self.queue.report_load(time.monotonic(), report))
 
     def set_target(self, target: Target) -> None:
-        """Take over an edit of the target's document."""
+        """Apply an edit of the target's document."""
         with self._changed:
             now = time.monotonic()
             self._publish_decisions(self.queue.set_leaving(now, target.leaving))
@@ -115,7 +119,7 @@
                 )
 
     def n_queued(self) -> int:
-        """Return how many calls wait."""
+        """Return the number of queued calls."""
         with self._changed:
             return self.queue.snapshot(time.monotonic()).queued
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_queue_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_queue_service.py
@@ -1,4 +1,9 @@
-"""The queues of the targets whose slots this host holds."""
+"""Admission queues of the targets whose slots this host holds.
+
+A queue is created at the first request for its target after the slot was claimed, and
+removed when the slot is lost. Every `TICK_INTERVAL_SECONDS`, a thread reads the load
+reports of the engines and expires grants.
+"""
 
 import logging
 import threading
@@ -24,14 +29,14 @@
 
 
 class QueueService:
-    """Queues by target, made when they are first asked for.
+    """Creates, updates and removes the queues of targets.
 
     Parameters
     ----------
     membership : MembershipService
     config : ConfigService
     engines : EngineClient
-        Asked for load reports.
+        Reads the load reports.
     """
 
     def __init__(
@@ -51,42 +56,42 @@
         config.listen(self._on_config_changes)
 
     def start(self) -> None:
-        """Let the queues' time pass from now on."""
+        """Start the thread that updates the queues."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop the clock of the queues."""
+        """Stop the thread that updates the queues."""
         self._stop.set()
 
     def manager(self, name: str) -> Result[QueueManager, Refusal]:
-        """Return a target's queue, if this host holds the target's slot."""
+        """Return the queue of a target, or a refusal if this host lacks its slot."""
         epoch = self.membership.epoch(SlotKind.TARGET, name)
         if epoch is None:
             return Error(not_holder("target"))
         target = self.config.state.get(DocumentKind.TARGET, name)
         if target is None:
-            return Error(Refusal(Reason.NO_TARGET, f"no target {name!r}"))
+            return Error(Refusal(Reason.NO_TARGET, f"unknown target {name!r}"))
         with self._lock:
             known = self._managers.get(name)
-            # Under another epoch the queue may have been elsewhere in between, and
-            # its grants are no longer the whole truth.
+            # With another epoch, another host may have kept the queue in between and
+            # issued grants that are unknown here.
             if known is None or known[0] != epoch:
                 known = self._managers[name] = (epoch, QueueManager.from_target(target))
             return Ok(known[1])
 
     def queue_lengths(self) -> dict[str, int]:
-        """Return the calls that wait, by target."""
+        """Return the number of queued calls by target."""
         return {name: manager.n_queued() for name, manager in self._queues()}
 
     def end_program(self, target: str, program: str) -> None:
-        """Count a program's memory at a target as free."""
+        """Count the cache of a program at a target as free."""
         with self._lock:
             known = self._managers.get(target)
         if known is not None:
             known[1].end_program(program)
 
     def set_token_bytes(self, target: str, n_bytes: float) -> None:
-        """Note the bytes of a target's memory that a token takes."""
+        """Set the bytes of cache that one token takes at a target."""
         self._token_bytes[target] = n_bytes
 
     def _queues(self) -> list[tuple[str, QueueManager]]:
@@ -103,11 +108,13 @@
                     self._report_load(name, manager)
                     manager.tick()
                 except Exception:
-                    # One odd target must not stop the queues of the others.
-                    log.exception("queue step failed", extra={"target": name})
+                    # An error for one target must not stop the others.
+                    log.exception(
+                        "update of the target's queue failed", extra={"target": name}
+                    )
 
     def _remove_queue(self, name: str) -> None:
-        """Forget a queue that another host keeps now; those who wait ask there."""
+        """Remove a queue that another host keeps now; its calls ask that host."""
         with self._lock:
             self._managers.pop(name, None)
 
@@ -117,7 +124,7 @@
             return
         load = self.engines.load(target)
         if load is not None:
-            # Reports carry no time of measurement; they count as just measured.
+            # Load reports have no timestamp and are treated as current.
             now = time.monotonic()
             manager.report_load(self._load_report(name, load, now))
 
@@ -139,9 +146,9 @@
 
 
 def not_holder(what: str) -> Refusal:
-    """Return the refusal of a peer's call that belongs to another host."""
+    """Return the refusal of a request for a slot that another host holds."""
     return Refusal(
         Reason.NOT_HOLDER,
-        f"this host doesn't hold the {what}'s slot",
+        f"this host does not hold the {what} slot",
         retry_after_seconds=NOT_HOLDER_RETRY_SECONDS,
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_service_answer.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_service_answer.py
@@ -1,11 +1,11 @@
-"""The answer of a plain service."""
+"""Answer of a plain service."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceAnswer:
-    """Status and body as the service gave them."""
+    """Status, body and checked content type of a service's answer."""
 
     status: int
     body: bytes
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_service_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_service_client.py
@@ -1,4 +1,7 @@
-"""Calls of plain services."""
+"""Client for HTTP calls of plain services.
+
+Each call is sent once; a failure says whether the call may have run.
+"""
 
 import re
 
@@ -17,14 +20,14 @@
 
 
 class ServiceClient:
-    """Sends a call once and says what became of it.
+    """Sends calls to services, without retries.
 
     Parameters
     ----------
     pool : urllib3.PoolManager
-        Connections for calls that may be repeated.
+        Pool of kept connections, for calls that may be repeated.
     connect_seconds : float
-        Timeout of a new connection.
+        Timeout of a new connection in seconds.
     """
 
     def __init__(self, pool: urllib3.PoolManager, connect_seconds: float) -> None:
@@ -33,7 +36,7 @@
 
     @classmethod
     def from_settings(cls, timeouts: TimeoutSettings) -> "ServiceClient":
-        """Return a client with the settings' timeouts."""
+        """Return a client with the timeouts of the settings."""
         return cls(make_pool(128), timeouts.connect_seconds)
 
     def send(
@@ -51,21 +54,21 @@
         ----------
         target : Target
         path : str
-            Below the target's base URL, without a leading slash.
+            Path below the base URL of the target, without a leading slash.
         body : bytes
         headers : dict
-            Include the request id, which an answer may echo.
+            Headers, including the request id, which the answer may echo.
         timeout_seconds : float
-            Time for the answer.
+            Longest time without data from the service.
         reuse_connection : bool
-            Whether a kept connection may carry it. On a kept connection that the
-            other end has just closed nobody can tell whether the call arrived; a
-            new one leaves no such doubt, so calls that may not be repeated get one.
+            Whether a kept connection may be used. If the service has just closed a
+            kept connection, it is unknown whether the call arrived. Calls that must
+            not be repeated therefore use a new connection.
 
         Raises
         ------
         TargetFailure
-            When there is no whole answer to this very call.
+            If there is no complete answer to this call.
         """
         pool = self.pool if reuse_connection else make_pool(1, 1)
         try:
@@ -82,7 +85,7 @@
             verdict = verdict_of(exc)
             raise TargetFailure(
                 Reason.TARGET_FAILED,
-                f"no answer of the service ({type(exc).__name__})",
+                f"no answer from the service ({type(exc).__name__})",
                 verdict,
                 connection_broke=verdict is Verdict.MAY_HAVE_RUN,
             ) from exc
@@ -93,17 +96,17 @@
         if echoed is not None and echoed != headers[REQUEST_ID_HEADER]:
             raise TargetFailure(
                 Reason.TARGET_FAILED,
-                "got an answer to another request",
+                "service answered another request",
                 Verdict.MAY_HAVE_RUN,
             )
         return ServiceAnswer(answer.status, answer.data, _content_type(answer))
 
 
 def _content_type(answer: urllib3.BaseHTTPResponse) -> str:
-    """Return the answer's content type where it is a plain one.
+    """Return the content type of an answer if it is short printable ASCII.
 
-    It is passed on to the caller as a header. A folded one carries a line break, by
-    which a target would add headers of its own to our answer.
+    It is sent to the caller as a header. A folded header contains a line break, with
+    which a target could add headers to the answer; it is replaced by a default.
     """
     value = answer.headers.get("Content-Type", "")
     return value if _PRINTABLE_ASCII.fullmatch(value) else DEFAULT_CONTENT_TYPE
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_target_selector.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_target_selector.py
@@ -1,4 +1,9 @@
-"""What this host knows of all targets, and its choice among them."""
+"""Selects the target of a call from the state known at this host.
+
+The inputs are the documents of the targets, the states of their queues that arrive with
+answers, and a circuit breaker per target that counts failures. `Router` makes the
+choice from views of this state.
+"""
 
 import random
 import threading
@@ -36,12 +41,12 @@
 
 
 class TargetSelector:
-    """Views of targets from their documents, queues and failures.
+    """Keeps the state of all targets and selects among them.
 
     Parameters
     ----------
     config : ConfigService
-        Tells which targets there are.
+        Provides the documents of all targets.
     router : Router
     rng : random.Random
         Jitter of the circuit breakers.
@@ -63,16 +68,16 @@
 
     @classmethod
     def from_config(cls, config: ConfigService) -> "TargetSelector":
-        """Return a board with draws of its own."""
+        """Return a selector with a new random generator."""
         rng = random.Random()
         return cls(config, Router.from_config(RoutingConfig(), rng), rng)
 
     def target(self, name: str) -> Target | None:
-        """Return a target's document."""
+        """Return the document of a target, or None."""
         return self.config.state.get(DocumentKind.TARGET, name)
 
     def choose(self, req: RouteRequest) -> Choice | NoTarget:
-        """Choose a target for a call and count it as sent there."""
+        """Choose a target for a call and count the call as dispatched to it."""
         now = time.monotonic()
         with self._lock:
             if self._must_rebuild(now):
@@ -85,12 +90,15 @@
             return choice
 
     def acquire_breaker_permit(self, name: str) -> BreakerPermit | Blocked:
-        """Ask the target's circuit breaker; a pass must be reported or withdrawn."""
+        """Ask the circuit breaker of a target whether a call may be sent.
+
+        A permit must be passed to `report_result` or `withdraw_permit`.
+        """
         with self._lock:
             return self._states[name].breaker.acquire(time.monotonic())
 
     def report_result(self, name: str, permit: BreakerPermit, ok: bool) -> None:
-        """Report the result of a call that was sent."""
+        """Report to the circuit breaker whether a call that was sent succeeded."""
         with self._lock:
             if name in self._states:
                 self._states[name].breaker.report(time.monotonic(), permit, ok)
@@ -98,18 +106,18 @@
                 self._has_changes = True
 
     def withdraw_permit(self, name: str, permit: BreakerPermit) -> None:
-        """Say that a call wasn't sent after all."""
+        """Return the permit of a call that was not sent."""
         with self._lock:
             if name in self._states:
                 self._states[name].breaker.withdraw(time.monotonic(), permit)
 
     def count_finished(self, name: str) -> None:
-        """Count a call that was answered, refused or withdrawn."""
+        """Count a dispatched call as ended: answered, refused or withdrawn."""
         with self._lock:
             self.router.finished(time.monotonic(), name)
 
     def update_queue_state(self, name: str, snapshot: QueueSnapshot | None) -> None:
-        """Take in the state of a target's queue that came with an answer."""
+        """Update the state of a target's queue, received with an answer."""
         if snapshot is None:
             return
         with self._lock:
@@ -134,11 +142,11 @@
             self._must_rebuild_now = True
 
     def _must_rebuild(self, now: float) -> bool:
-        """Return whether the views are too old to choose by.
+        """Return whether the views must be rebuilt before the next choice.
 
-        Edits and failures count at once. Loads come with every answer, seconds late
-        anyway: building and indexing 600 views for each would cost more than the
-        choice itself.
+        Edits and failures apply immediately. Queue states arrive with every answer and
+        are seconds old anyway; they apply after up to `VIEW_REBUILD_SECONDS`, since
+        building and indexing 600 views for each would cost more than the choice itself.
         """
         if self._must_rebuild_now:
             return True
@@ -176,7 +184,7 @@
 
 
 def _admits_calls(breaker: CircuitBreaker, now: float) -> bool:
-    """Return whether the breaker would let a call pass, without asking for one."""
+    """Return whether the breaker would admit a call, without taking a permit."""
     match breaker.state:
         case Closed():
             return True
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/tests/test_queue_manager.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/tests/test_queue_manager.py
@@ -1,4 +1,4 @@
-"""The queue of a target as its holder's threads use it."""
+"""Tests for the renewal of grants in the queue of a target."""
 
 from swifttide_core.documents import Target, TargetKind
 from swifttide_daemon.targets import AcquireRequest
@@ -28,8 +28,10 @@
 
 class TestRenew:
     def test_renewed_call_stays_admitted(self):
-        """A stream runs longer than a grant lives. Its host renews the grant; a fault
-        there would let the queue admit more calls than the target can take.
+        """Guards against a renewal that loses the grant of a long call.
+
+        A stream can run longer than the lifetime of a grant. If its renewal failed, the
+        queue would admit more calls than the limit of the target.
         """
         manager = QueueManager.from_target(TARGET)
         assert manager.acquire(make_request("a")).admitted
@@ -37,7 +39,10 @@
         assert manager.acquire(make_request("a")).admitted
 
     def test_new_holder_counts_renewed_calls(self):
-        """The former holder died. The new one must count the calls that run."""
+        """Guards against admission above the limit after a holder crashed.
+
+        The new holder must count the calls that are still running.
+        """
         manager = QueueManager.from_target(TARGET)
         manager.renew((make_request("a"), make_request("b")))
         assert manager.acquire(make_request("c")).snapshot.running == 3
