--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_rate_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_rate_limiter.py
@@ -97,7 +97,10 @@
         return _refusal(answer)
 
     def _current_limiter(self) -> EntryRateLimiter:
-        """Return the entry limiter; a new one after this host lost its lease."""
+        """Return the entry limiter; a new one if the incarnation of this host changed.
+
+        A host that lost its lease gets a new incarnation.
+        """
         me = self.membership.me
         zones = (me.zone, *(z for z in self.membership.zones() if z != me.zone))
         if self._entry_limiter is None or self._incarnation != me.incarnation:
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_chat_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_chat_runner.py
@@ -123,10 +123,10 @@
             max_tokens=self._max_tokens(context, body),
             fingerprint=self.generator.fingerprint(context, body.messages),
         )
-        made = self.generator.generate(context, prompt, running, traceparent)
-        if made.is_error():
-            return Failed(made.error)
-        return finished_event(context.call.turn or 0, made.ok)
+        answer = self.generator.generate(context, prompt, running, traceparent)
+        if answer.is_error():
+            return Failed(answer.error)
+        return finished_event(context.call.turn or 0, answer.ok)
 
     def _run_without_platform(
         self,
@@ -169,7 +169,7 @@
         zone = self.membership.me.zone
         slot = self.membership.slot(SlotKind.PROGRAM, call.placement_key)
         caller_keeps = context.profile.history is HistoryMode.CALLER
-        fresh = body.messages[-1:] if caller_keeps else body.messages
+        new_messages = body.messages[-1:] if caller_keeps else body.messages
         ahead = self.book.take_ahead(call)
         return Turn(
             attempt=new_id(),
@@ -181,7 +181,7 @@
             new_program=self._new_row(context, call.program, call.parent),
             new_root=self._new_row(context, call.root, ""),
             profile=context.profile,
-            tokens=max_tokens + sum(len(m.content.encode()) for m in fresh),
+            tokens=max_tokens + sum(len(m.content.encode()) for m in new_messages),
             now=time.time(),
             calls=self.book.calls_since_commit(call),
             ahead=ahead.tokens,
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_crash_detector.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_crash_detector.py
@@ -55,10 +55,10 @@
         crashed.
         """
         with self._lock:
-            watch = self._classifiers.setdefault(
+            classifier = self._classifiers.setdefault(
                 target.name, CrashClassifier(target.name)
             )
-            watch.record_broken_request(fingerprint, incarnation)
+            classifier.record_broken_request(fingerprint, incarnation)
         for _ in range(N_PROBES):
             time.sleep(PROBE_INTERVAL_SECONDS)
             seen = self.query_incarnation(target)
@@ -71,7 +71,7 @@
     def _report_strikes(self, target: Target, incarnation: str) -> None:
         """Report a strike for each request that broke in an earlier incarnation."""
         with self._lock:
-            watch = self._classifiers.get(target.name)
-            found = watch.classify(incarnation) if watch else ()
+            classifier = self._classifiers.get(target.name)
+            found = classifier.classify(incarnation) if classifier else ()
         for strike in found:
             self.strikes.report(strike)
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_generator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_generator.py
@@ -84,9 +84,9 @@
         n_attempts = 0
         may_have_run = False
         while True:
-            put_aside = self.strikes.check(prompt.fingerprint)
-            if put_aside is not None:
-                return Error(put_aside.with_earlier_attempts(may_have_run))
+            strike_refusal = self.strikes.check(prompt.fingerprint)
+            if strike_refusal is not None:
+                return Error(strike_refusal.with_earlier_attempts(may_have_run))
             n_attempts += 1
             ticket_id = f"{call.request_id}-{n_attempts}"
             demand = self._demand(context, prompt)
@@ -133,17 +133,17 @@
         estimates = self.estimates
         output = min(estimates.output_tokens(profile), prompt.max_tokens)
         n_tokens = sum(len(m.content.split()) for m in prompt.messages)
-        fresh = max(0, n_tokens - prompt.history_tokens)
-        starts = prompt.attained_cost == 0
+        new_tokens = max(0, n_tokens - prompt.history_tokens)
+        is_new_program = prompt.attained_cost == 0
         return Demand(
             serves=context.profile.model,
             prompt_tokens=n_tokens,
-            expected_tokens=call_cost(fresh, output),
+            expected_tokens=call_cost(new_tokens, output),
             attained_tokens=prompt.attained_cost,
             context_tokens=n_tokens + output if context.call.program else 0.0,
             expected_context_tokens=estimates.context_tokens(profile),
             expected_remaining_seconds=(
-                estimates.program_seconds(profile) if starts else 0.0
+                estimates.program_seconds(profile) if is_new_program else 0.0
             ),
             new_history=prompt.new_history,
             prefixes=tuple(
@@ -170,20 +170,20 @@
             target=target.name,
         ) as span:
             try:
-                made = self._read_stream(
+                answer = self._read_stream(
                     context, prompt, placement, running, span.traceparent
                 )
                 span.set(verdict=Verdict.RAN.value)
-                return made
+                return answer
             except TargetFailure as failure:
                 span.set(verdict=failure.verdict.value)
-                died = (
+                crashed = (
                     failure.connection_broke
                     and self.crash_detector.report_if_crashed(
                         target, prompt.fingerprint, incarnation
                     )
                 )
-                if not died and failure.verdict is not Verdict.NOT_RUN:
+                if not crashed and failure.verdict is not Verdict.NOT_RUN:
                     self.engines.cancel(target, placement.ticket_id)
                 raise
 
@@ -209,7 +209,7 @@
         traceparent: str,
     ) -> GeneratedAnswer:
         target = placement.target
-        clock = _TokenTimer()
+        timer = _TokenTimer()
         pieces: list[str] = []
         events = self.engines.chat(
             target,
@@ -221,7 +221,7 @@
         )
         for event in events:
             if isinstance(event, EngineDone):
-                self._record_success(context, prompt, placement, event, clock)
+                self._record_success(context, prompt, placement, event, timer)
                 return GeneratedAnswer(
                     "".join(pieces),
                     event.prompt_tokens,
@@ -229,7 +229,7 @@
                     event.cached_tokens,
                     target.name,
                 )
-            clock.record_token()
+            timer.record_token()
             pieces.append(event.text)
             running.append(Content(event.text))
         raise TargetFailure(
@@ -244,7 +244,7 @@
         prompt: Prompt,
         placement: Placement,
         usage: EngineDone,
-        clock: "_TokenTimer",
+        timer: "_TokenTimer",
     ) -> None:
         uncached = usage.prompt_tokens - usage.cached_tokens
         outcome = Outcome(
@@ -256,9 +256,9 @@
         self.estimates.observe_output(profile, usage.completion_tokens)
         self.strikes.ran(prompt.fingerprint)
         metrics = self.telemetry.metrics
-        if clock.first_at is not None:
-            metrics.observe_first_token(clock.first_at - context.started_at)
-            metrics.observe_token_gap(clock.longest_gap)
+        if timer.first_at is not None:
+            metrics.observe_first_token(timer.first_at - context.started_at)
+            metrics.observe_token_gap(timer.longest_gap)
         if placement.target.name in prompt.cache_targets:
             lost = prompt.history_tokens - usage.cached_tokens
             metrics.waste_cache(max(0, lost), "evicted")
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
@@ -106,9 +106,9 @@
 
     def run(self) -> None:
         """Run the call; the caller gets the answer before the outcome is stored."""
-        wanted = _new_intent(self.context.call)
-        step = start_call(wanted)
-        self.recorded = self.recorder.start(CALL, (wanted,), step.actions)
+        intent = _new_intent(self.context.call)
+        step = start_call(intent)
+        self.recording = self.recorder.start(CALL, (intent,), step.actions)
         state = step.state
         actions = list(step.actions)
         while actions:
@@ -122,7 +122,7 @@
             if event is None:
                 continue
             step = step_call(state, event)
-            self.recorded.step(event, step.actions)
+            self.recording.step(event, step.actions)
             state = step.state
             actions.extend(step.actions)
 
@@ -241,7 +241,7 @@
                 time.sleep(pause)
                 pause = min(2 * pause, MAX_JOURNAL_RETRY_SECONDS)
             step = step_call(state, event)
-            self.recorded.step(event, step.actions)
+            self.recording.step(event, step.actions)
             state = step.state
             actions.extend(step.actions)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_service_runner.py
@@ -26,7 +26,7 @@
 
 
 def must_not_repeat(profile: Profile, call: Call) -> bool:
-    """Return whether the profile allows a call to run at most once."""
+    """Return whether a call must run at most once, by the prefixes of its profile."""
     place = f"{call.service}/{call.path}"
     return any(place.startswith(prefix) for prefix in profile.never_repeat)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
@@ -4,7 +4,7 @@
 program's rows, reserve budget, generate the answer, store it and commit. This module
 executes these actions and reports their results to the machine. If the platform is
 unavailable, an action is retried every `STORE_RETRY_SECONDS`, until
-`STORE_TIMEOUT_SECONDS` or the deadline of the call have passed.
+`STORE_TIMEOUT_SECONDS` after the first failure or until the deadline of the call.
 """
 
 import time
@@ -184,8 +184,8 @@
             return ModelFailed()
         self.generated = generated.ok
         unrecorded = self.book.take_unrecorded(self.context.call)
-        fresh = max(0, self.generated.total_tokens - prompt.history_tokens)
-        return ModelAnswered(fresh + unrecorded, self.generated.target)
+        new_tokens = max(0, self.generated.total_tokens - prompt.history_tokens)
+        return ModelAnswered(new_tokens + unrecorded, self.generated.target)
 
     def _prompt(self, chunks: tuple[str, ...]) -> Prompt | Refusal:
         messages = self.body.messages
@@ -266,15 +266,15 @@
         return Failed(refusal)
 
 
-def finished_event(number: int, made: GeneratedAnswer) -> Finished:
+def finished_event(number: int, answer: GeneratedAnswer) -> Finished:
     """Return the final event of a turn that was generated."""
     return Finished(
         status=200,
-        body=made.text.encode(),
+        body=answer.text.encode(),
         turn=number,
-        prompt_tokens=made.prompt_tokens,
-        completion_tokens=made.completion_tokens,
-        cached_tokens=made.cached_tokens,
+        prompt_tokens=answer.prompt_tokens,
+        completion_tokens=answer.completion_tokens,
+        cached_tokens=answer.cached_tokens,
     )
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_engine_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_engine_client.py
@@ -150,13 +150,13 @@
     def export_cache(
         self, target: Target, program: str, name: str, fencing: int
     ) -> bool:
-        """Order the engine to export a program's cache to an object in the store."""
+        """Order the engine to export a program's cache to an object of the platform."""
         return self._transfer_cache(target, program, "export", name, fencing)
 
     def import_cache(
         self, target: Target, program: str, name: str, fencing: int
     ) -> bool:
-        """Order the engine to import a program's cache from an object in the store."""
+        """Order the engine to import a program's cache from an object of the platform."""
         return self._transfer_cache(target, program, "import", name, fencing)
 
     def _transfer_cache(
@@ -237,7 +237,7 @@
     def _recover_stream(
         self, target: Target, headers: dict[str, str], exc: Exception
     ) -> urllib3.BaseHTTPResponse:
-        """Open a stream whose first response was lost again, on a new connection."""
+        """Reconnect to a stream whose first response was lost."""
         return self._resume_stream(target, headers["X-Request-Id"], 0, headers, exc)
 
     def _get_json(self, target: Target, path: str) -> dict[str, Any] | None:
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_grant_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_grant_client.py
@@ -97,7 +97,7 @@
         While the queue moves to another holder, nobody can admit the call; it asks
         again for a limited time, longer in the own zone than in others.
         """
-        unanswered_until = min(
+        holder_deadline = min(
             deadline, time.monotonic() + self._holder_timeout_seconds(target)
         )
         while time.monotonic() < deadline:
@@ -105,7 +105,7 @@
             if answer.is_ok() and (answer.ok.admitted or answer.ok.refusal):
                 return answer
             if answer.is_error():
-                late = time.monotonic() >= unanswered_until
+                late = time.monotonic() >= holder_deadline
                 if late or answer.error.reason is Reason.NO_TARGET:
                     return answer
                 self.membership.look_again()
