--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_local_share.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_managed_share.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class LocalShare:
+class ManagedShare:
     """Token bucket and ``shares`` row of a customer, and the time of the next check.
 
     Parameters
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_mover.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_mover.py
@@ -12,7 +12,7 @@
 from swifttide_core.limits import ZoneShares
 from swifttide_core.slots import SlotKind
 from swifttide_daemon.configuration import ConfigService
-from swifttide_daemon.limits._local_share import LocalShare
+from swifttide_daemon.limits._managed_share import ManagedShare
 from swifttide_daemon.limits._share_rows import ShareRows
 from swifttide_daemon.limits._share_service import ShareService
 from swifttide_daemon.membership import MembershipService
@@ -61,9 +61,9 @@
 
     def _run(self) -> None:
         while not self._stop.wait(STEP_INTERVAL_SECONDS):
-            for name, local_share in self.shares.local_shares().items():
+            for name, managed_share in self.shares.managed_shares().items():
                 try:
-                    self._step(name, local_share)
+                    self._step(name, managed_share)
                 except Exception:
                     # An error for one customer must not stop the others.
                     log.exception(
@@ -71,38 +71,38 @@
                         extra={"customer": name},
                     )
 
-    def _step(self, name: str, local_share: LocalShare) -> None:
-        if self.membership.epoch(SlotKind.CUSTOMER, name) != local_share.epoch:
+    def _step(self, name: str, managed_share: ManagedShare) -> None:
+        if self.membership.epoch(SlotKind.CUSTOMER, name) != managed_share.epoch:
             if self.membership.keeper.holds():
                 self.shares.drop(name)
             return
-        if local_share.has_offer:
-            local_share.has_offer = False
-            self._reload(name, local_share)
+        if managed_share.has_offer:
+            managed_share.has_offer = False
+            self._reload(name, managed_share)
         now = time.monotonic()
-        if now < local_share.next_plan_at:
+        if now < managed_share.next_plan_at:
             return
-        row = self.shares.next_write(local_share)
-        local_share.next_plan_at = (
+        row = self.shares.next_write(managed_share)
+        managed_share.next_plan_at = (
             now
-            if local_share.manager.has_pending_transfer
+            if managed_share.manager.has_pending_transfer
             else now + PLAN_INTERVAL_SECONDS
         )
         if row is not None:
-            self._write(name, local_share, row)
+            self._write(name, managed_share, row)
 
-    def _write(self, name: str, local_share: LocalShare, row: ZoneShares) -> None:
-        fence = self.membership.fence(SlotKind.CUSTOMER, name, local_share.epoch)
+    def _write(self, name: str, managed_share: ManagedShare, row: ZoneShares) -> None:
+        fence = self.membership.fence(SlotKind.CUSTOMER, name, managed_share.epoch)
         if fence is not None:
-            self.rows.write(name, local_share.manager.version, row, (fence,))
+            self.rows.write(name, managed_share.manager.version, row, (fence,))
             # The write may have failed or its answer been lost; only the row counts.
-            self._reload(name, local_share)
+            self._reload(name, managed_share)
 
-    def _reload(self, name: str, local_share: LocalShare) -> None:
+    def _reload(self, name: str, managed_share: ManagedShare) -> None:
         customer = self.config.customer(name)
         if customer is None:
             return
         read = self.rows.read(customer)
         if read.is_ok():
-            self.shares.apply_row(local_share, read.ok)
-            local_share.next_plan_at = 0.0
+            self.shares.apply_row(managed_share, read.ok)
+            managed_share.next_plan_at = 0.0
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_service.py
@@ -28,7 +28,7 @@
 from swifttide_core.slots import SlotKind
 from swifttide_core.verdicts import Reason, Refusal
 from swifttide_daemon.configuration import ConfigService
-from swifttide_daemon.limits._local_share import LocalShare
+from swifttide_daemon.limits._managed_share import ManagedShare
 from swifttide_daemon.limits._messages import (
     DrawAnswer,
     DrawRequest,
@@ -68,7 +68,7 @@
         self.config = config
         self.rows = rows
         self.peers = peers
-        self._local_shares: dict[str, LocalShare] = {}
+        self._managed_shares: dict[str, ManagedShare] = {}
         self._pending_handovers: dict[str, tuple[HandoverRequest, float]] = {}
         self._lock = threading.Lock()
         config.listen(self._on_config_changes)
@@ -80,25 +80,25 @@
         me = self.membership.me
         return f"{me.host}-{me.incarnation}"
 
-    def local_shares(self) -> dict[str, LocalShare]:
+    def managed_shares(self) -> dict[str, ManagedShare]:
         """Return the shares that this host keeps, by customer."""
         with self._lock:
-            return dict(self._local_shares)
+            return dict(self._managed_shares)
 
     def drop(self, customer: str) -> None:
         """Remove the share of a customer whose slot another host holds."""
         with self._lock:
-            self._local_shares.pop(customer, None)
+            self._managed_shares.pop(customer, None)
 
-    def next_write(self, local_share: LocalShare) -> ZoneShares | None:
+    def next_write(self, managed_share: ManagedShare) -> ZoneShares | None:
         """Return the row to write for a share, or None if nothing changes."""
         with self._lock:
-            return local_share.manager.next_write(time.monotonic())
+            return managed_share.manager.next_write(time.monotonic())
 
-    def apply_row(self, local_share: LocalShare, stored: StoredShares) -> None:
+    def apply_row(self, managed_share: ManagedShare, stored: StoredShares) -> None:
         """Apply a row that was read from the platform."""
         with self._lock:
-            local_share.manager.apply_row(
+            managed_share.manager.apply_row(
                 time.monotonic(), stored.shares, stored.version
             )
 
@@ -107,13 +107,13 @@
         found = self._get_or_create_share(customer)
         if found.is_error():
             return found
-        local_share = found.ok
+        managed_share = found.ok
         others = tuple(z for z in self.membership.zones() if z != self._zone)
         with self._lock:
             # Time and lease are read under the lock: a thread that was delayed between
             # the check of the lease and the lending must not lend after its end.
             now = time.monotonic()
-            answer = local_share.share.draw(
+            answer = managed_share.share.draw(
                 now,
                 req.entry_host,
                 req.wanted,
@@ -124,24 +124,24 @@
                 spend_seconds=req.spend_seconds,
                 returned=req.returned,
             )
-            pulls = local_share.share.next_pulls(now, self.holder_id, others)
-            moved = self._local_shares.get(customer) is not local_share
+            pulls = managed_share.share.next_pulls(now, self.holder_id, others)
+            moved = self._managed_shares.get(customer) is not managed_share
         if moved and isinstance(answer, RateRefused):
             # The bucket was handed over in the meantime and refuses every draw. This
             # does not mean that the customer exceeded its rate.
             return Error(not_holder("customer"))
         for pull in pulls:
             # The request must not wait for the answer of another zone.
-            args = (customer, local_share, pull)
+            args = (customer, managed_share, pull)
             threading.Thread(target=self._send_pull, args=args, daemon=True).start()
         return Ok(DrawAnswer.from_core(answer))
 
     def return_batch(self, customer: str, req: ReturnRequest) -> None:
         """Return the unspent tokens of a batch to the bucket."""
         with self._lock:
-            local_share = self._local_shares.get(customer)
-            if local_share is not None:
-                local_share.share.return_batch(
+            managed_share = self._managed_shares.get(customer)
+            if managed_share is not None:
+                managed_share.share.return_batch(
                     time.monotonic(), req.entry_host, req.batch
                 )
 
@@ -174,17 +174,17 @@
     def _zone(self) -> str:
         return self.membership.me.zone
 
-    def _get_or_create_share(self, customer: str) -> Result[LocalShare, Refusal]:
+    def _get_or_create_share(self, customer: str) -> Result[ManagedShare, Refusal]:
         epoch = self.membership.epoch(SlotKind.CUSTOMER, customer)
         if epoch is None:
             return Error(not_holder("customer"))
         with self._lock:
-            local_share = self._local_shares.get(customer)
-            if local_share is not None and local_share.epoch == epoch:
-                return Ok(local_share)
+            managed_share = self._managed_shares.get(customer)
+            if managed_share is not None and managed_share.epoch == epoch:
+                return Ok(managed_share)
         return self._create_share(customer, epoch)
 
-    def _create_share(self, customer: str, epoch: int) -> Result[LocalShare, Refusal]:
+    def _create_share(self, customer: str, epoch: int) -> Result[ManagedShare, Refusal]:
         document = self.config.customer(customer)
         if document is None:
             return Error(Refusal(Reason.NOT_FOUND, f"no customer {customer!r}"))
@@ -200,12 +200,14 @@
                 )
             )
         with self._lock:
-            local_share = self._local_shares.get(customer)
-            if local_share is not None and local_share.epoch == epoch:
-                return Ok(local_share)
+            managed_share = self._managed_shares.get(customer)
+            if managed_share is not None and managed_share.epoch == epoch:
+                return Ok(managed_share)
             manager = self._new_manager(document, read.ok, epoch)
-            local_share = self._local_shares[customer] = LocalShare(epoch, manager)
-            return Ok(local_share)
+            managed_share = self._managed_shares[customer] = ManagedShare(
+                epoch, manager
+            )
+            return Ok(managed_share)
 
     def _new_manager(
         self, customer: Customer, stored: StoredShares, epoch: int
@@ -237,7 +239,9 @@
             customer, fraction, time.monotonic(), unserved_since=since
         )
 
-    def _send_pull(self, customer: str, local_share: LocalShare, pull: Pull) -> None:
+    def _send_pull(
+        self, customer: str, managed_share: ManagedShare, pull: Pull
+    ) -> None:
         holder = self.membership.holder(SlotKind.CUSTOMER, customer, pull.zone)
         if holder is None:
             return
@@ -247,24 +251,24 @@
         if sent.is_error():
             return
         found = msgspec.convert(sent.ok, DrawAnswer)
-        local_share.has_offer = local_share.has_offer or found.offered
+        managed_share.has_offer = managed_share.has_offer or found.offered
         answer: Batch | RateRefused | None = found.batch or found.refused
         if answer is not None:
             with self._lock:
-                local_share.share.settle_pull(time.monotonic(), pull.draw_id, answer)
+                managed_share.share.settle_pull(time.monotonic(), pull.draw_id, answer)
 
     def _hand_over(self, moved: MovedSlots) -> None:
         """Send the buckets of slots that were given up to their next holders."""
         now = time.monotonic()
         by_url: dict[str, list[HandoverRequest]] = {}
         with self._lock:
-            for customer, local_share in list(self._local_shares.items()):
+            for customer, managed_share in list(self._managed_shares.items()):
                 slot = self.membership.slot(SlotKind.CUSTOMER, customer)
                 move = moved.moves.get(slot)
                 if move is None:
                     continue
-                state = local_share.share.hand_over(now)
-                del self._local_shares[customer]
+                state = managed_share.share.hand_over(now)
+                del self._managed_shares[customer]
                 request = HandoverRequest(customer, move.next_epoch, state)
                 by_url.setdefault(move.peer_url, []).append(request)
         for url, requests in by_url.items():
@@ -275,7 +279,7 @@
             if change.kind is not DocumentKind.CUSTOMER:
                 continue
             customer = self.config.customer(change.name)
-            local_share = self.local_shares().get(change.name)
-            if customer is not None and local_share is not None:
+            managed_share = self.managed_shares().get(change.name)
+            if customer is not None and managed_share is not None:
                 with self._lock:
-                    local_share.manager.set_customer(time.monotonic(), customer)
+                    managed_share.manager.set_customer(time.monotonic(), customer)
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_engine_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_engine_client.py
@@ -150,13 +150,13 @@
     def export_cache(
         self, target: Target, program: str, name: str, fencing: int
     ) -> bool:
-        """Order the engine to export a program's cache to an object of the platform."""
+        """Order the engine to export a program's cache to a platform object."""
         return self._transfer_cache(target, program, "export", name, fencing)
 
     def import_cache(
         self, target: Target, program: str, name: str, fencing: int
     ) -> bool:
-        """Order the engine to import a program's cache from an object of the platform."""
+        """Order the engine to import a program's cache from a platform object."""
         return self._transfer_cache(target, program, "import", name, fencing)
 
     def _transfer_cache(
