--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -31,7 +31,7 @@
     Generator,
     ModelLoader,
     Placer,
-    RetryAccount,
+    RetryBudgets,
     ServiceRunner,
     ServiceSender,
 )
@@ -40,10 +40,10 @@
 from swifttide_daemon.strikes import StrikeService
 from swifttide_daemon.targets import (
     EngineClient,
-    GrantBook,
+    GrantClient,
     QueueService,
     ServiceClient,
-    TargetBoard,
+    TargetSelector,
 )
 from swifttide_daemon.telemetry import Telemetry
 from swifttide_daemon.web import App, Route, WebServer
@@ -125,8 +125,8 @@
         self.engines = EngineClient.from_settings(timeouts)
         self.service_client = ServiceClient.from_settings(timeouts)
         self.queues = QueueService(self.membership, self.config, self.engines)
-        self.grants = GrantBook(self.membership, self.queues, self.peer_client)
-        self.board = TargetBoard.from_config(self.config)
+        self.grants = GrantClient(self.membership, self.queues, self.peer_client)
+        self.board = TargetSelector.from_config(self.config)
         self.strikes = StrikeService(self.membership, self.peer_client)
         self.book = ProgramRegistry(
             ProgramStore(self.platform), self.telemetry.metrics.end_program
@@ -148,7 +148,7 @@
             self.settings.zone,
             self.telemetry.metrics.admit,
         )
-        retries = RetryAccount.from_rng(self.rng)
+        retries = RetryBudgets.from_rng(self.rng)
         crashes = CrashDetector(self.engines, self.strikes)
         generator = Generator(
             placer,
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_mover.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_mover.py
@@ -1,4 +1,9 @@
-"""Moves parts of a customer's rate to the zones where its requests arrive."""
+"""Moves parts of a customer's rate to the zones where its requests arrive.
+
+For each customer whose slot this host holds, a thread checks every
+`PLAN_INTERVAL_SECONDS` whether a part of the share should be given up or an offered
+part be accepted, and writes the change to the customer's ``shares`` row.
+"""
 
 import logging
 import threading
@@ -7,22 +12,22 @@
 from swifttide_core.limits import ZoneShares
 from swifttide_core.slots import SlotKind
 from swifttide_daemon.configuration import ConfigService
-from swifttide_daemon.limits._held_share import HeldShare
+from swifttide_daemon.limits._managed_share import ManagedShare
 from swifttide_daemon.limits._share_rows import ShareRows
 from swifttide_daemon.limits._share_service import ShareService
 from swifttide_daemon.membership import MembershipService
 
 log = logging.getLogger(__name__)
 
-STEP_SECONDS = 0.5
-PLAN_SECONDS = 5.0
-"""Pause between thoughts about moving a part. They cost no read; the row is read
-only after a write or when another zone's holder says that it holds an offer: 7,900
-customers in 5 zones would be thousands of reads a second."""
+STEP_INTERVAL_SECONDS = 0.5
+PLAN_INTERVAL_SECONDS = 5.0
+"""Interval of the checks per customer. A check does not read the row; it is read only
+after a write, or when the holder in another zone reports an offer. For 7,900 customers
+in 5 zones, a read per check would be thousands of reads per second."""
 
 
 class ShareMover:
-    """Gives up parts that another zone needs, and takes what is offered here.
+    """Gives up parts of shares that other zones need and accepts offered parts.
 
     Parameters
     ----------
@@ -47,50 +52,57 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Move shares from now on."""
+        """Start the thread that moves shares."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Leave the shares as they are."""
+        """Stop the thread; the shares remain as they are."""
         self._stop.set()
 
     def _run(self) -> None:
-        while not self._stop.wait(STEP_SECONDS):
-            for name, held in self.shares.held().items():
+        while not self._stop.wait(STEP_INTERVAL_SECONDS):
+            for name, managed_share in self.shares.managed_shares().items():
                 try:
-                    self._step(name, held)
+                    self._step(name, managed_share)
                 except Exception:
-                    # One odd row must not stop the moves of other customers.
-                    log.exception("share step failed", extra={"customer": name})
+                    # An error for one customer must not stop the others.
+                    log.exception(
+                        "update of the customer's share failed",
+                        extra={"customer": name},
+                    )
 
-    def _step(self, name: str, held: HeldShare) -> None:
-        if self.membership.epoch(SlotKind.CUSTOMER, name) != held.epoch:
+    def _step(self, name: str, managed_share: ManagedShare) -> None:
+        if self.membership.epoch(SlotKind.CUSTOMER, name) != managed_share.epoch:
             if self.membership.keeper.holds():
                 self.shares.drop(name)
             return
-        if held.offered:
-            held.offered = False
-            self._learn(name, held)
+        if managed_share.has_offer:
+            managed_share.has_offer = False
+            self._reload(name, managed_share)
         now = time.monotonic()
-        if now < held.plan_at:
+        if now < managed_share.next_plan_at:
             return
-        row = self.shares.next_write(held)
-        held.plan_at = now if held.keeper.has_pending_transfer else now + PLAN_SECONDS
+        row = self.shares.next_write(managed_share)
+        managed_share.next_plan_at = (
+            now
+            if managed_share.manager.has_pending_transfer
+            else now + PLAN_INTERVAL_SECONDS
+        )
         if row is not None:
-            self._write(name, held, row)
+            self._write(name, managed_share, row)
 
-    def _write(self, name: str, held: HeldShare, row: ZoneShares) -> None:
-        fence = self.membership.fence(SlotKind.CUSTOMER, name, held.epoch)
+    def _write(self, name: str, managed_share: ManagedShare, row: ZoneShares) -> None:
+        fence = self.membership.fence(SlotKind.CUSTOMER, name, managed_share.epoch)
         if fence is not None:
-            self.rows.write(name, held.keeper.version, row, (fence,))
-            # Only what the row says is used, whatever became of the write.
-            self._learn(name, held)
+            self.rows.write(name, managed_share.manager.version, row, (fence,))
+            # The write may have failed or its answer been lost; only the row counts.
+            self._reload(name, managed_share)
 
-    def _learn(self, name: str, held: HeldShare) -> None:
+    def _reload(self, name: str, managed_share: ManagedShare) -> None:
         customer = self.config.customer(name)
         if customer is None:
             return
         read = self.rows.read(customer)
         if read.is_ok():
-            self.shares.learn(held, read.ok)
-            held.plan_at = 0.0
+            self.shares.apply_row(managed_share, read.ok)
+            managed_share.next_plan_at = 0.0
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_model_loader.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_model_loader.py
@@ -1,8 +1,8 @@
-"""Orders to load models that operators say an engine serves.
+"""Orders engines to load the models that their documents say they serve.
 
-An engine that was restarted has forgotten what it had loaded, and one whose document
-was edited hasn't loaded the new model yet. Both refuse each call until somebody tells
-them; nobody is awake to do so.
+An engine that was restarted has no model loaded, and an engine whose document was
+edited has not loaded the new model yet. Both refuse every call until they are ordered
+to load the model; without this module an operator would have to do so.
 """
 
 import logging
@@ -16,33 +16,33 @@
 
 
 class ModelLoader:
-    """Orders each missing model once at a time.
+    """Orders missing models in the background, one order per target and model.
 
     Parameters
     ----------
     engines : EngineClient
     fencing : callable
-        Returns the configuration's version: an engine that checks it refuses an
-        order of a host that doesn't know the newest edit.
+        Returns the version of the configuration as fencing token. An engine that
+        checks it refuses an order from a host with an outdated configuration.
     """
 
     def __init__(self, engines: EngineClient, fencing: Callable[[], int]) -> None:
         self.engines = engines
         self.fencing = fencing
-        self._ordered: set[tuple[str, str]] = set()
+        self._loading: set[tuple[str, str]] = set()
         self._lock = threading.Lock()
 
-    def want(self, target: Target, model: str) -> None:
-        """Order a model in the background, unless this host is doing so already.
+    def load_in_background(self, target: Target, model: str) -> None:
+        """Order a model in the background, unless such an order is already running.
 
-        Loading takes long; the call that found it missing goes elsewhere or is
-        refused with when to come back.
+        Loading takes long, so the call that needs the model does not wait: it goes to
+        another target or is refused with a retry time.
         """
         order = (target.name, model)
         with self._lock:
-            if order in self._ordered:
+            if order in self._loading:
                 return
-            self._ordered.add(order)
+            self._loading.add(order)
         threading.Thread(target=self._load, args=(target, model), daemon=True).start()
 
     def _load(self, target: Target, model: str) -> None:
@@ -51,4 +51,4 @@
             log.info("model_ordered", extra={"target": target.name, "loaded": loaded})
         finally:
             with self._lock:
-                self._ordered.discard((target.name, model))
+                self._loading.discard((target.name, model))
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_retry_account.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_retry_budgets.py
@@ -1,4 +1,8 @@
-"""Retry budgets of targets and customers at this host."""
+"""Limits retries with one budget per target and one per customer.
+
+First attempts add to the budgets of their target and customer, retries take from them.
+The budgets are local to this host and held in memory.
+"""
 
 import random
 import threading
@@ -10,8 +14,8 @@
 MAX_BUDGETS = 10_000
 
 
-class RetryAccount:
-    """Budgets by name, and the decision whether a call is tried again.
+class RetryBudgets:
+    """Keeps the budgets and decides whether a failed call is sent again.
 
     Parameters
     ----------
@@ -24,27 +28,27 @@
         self._lock = threading.Lock()
 
     @classmethod
-    def from_rng(cls, rng: random.Random) -> "RetryAccount":
-        """Return an account whose pauses are drawn from `rng`."""
+    def from_rng(cls, rng: random.Random) -> "RetryBudgets":
+        """Return budgets whose backoff delays are drawn from `rng`."""
         return cls(Backoff(rng))
 
-    def first_try(self, target: str, customer: str) -> None:
-        """Count a call that is sent for the first time."""
+    def record_first_attempt(self, target: str, customer: str) -> None:
+        """Add the first attempt of a call to the budgets of its target and customer."""
         now = time.monotonic()
         with self._lock:
-            for budget in self._pair(target, customer, now):
+            for budget in self._budgets_of(target, customer, now):
                 budget.record_first_attempt(now)
 
     def decide(
         self,
         verdict: Verdict,
         repeatable: bool,
-        n_tries: int,
+        n_attempts: int,
         deadline: float,
         target: str,
         customer: str,
     ) -> Retry | GiveUp:
-        """Decide what follows a try that failed; see `decide_retry`."""
+        """Return the retry with its delay, or `GiveUp`; see `decide_retry`."""
         now = time.monotonic()
         with self._lock:
             return decide_retry(
@@ -52,13 +56,13 @@
                 repeatable,
                 0,
                 now=now,
-                n_attempts=n_tries,
+                n_attempts=n_attempts,
                 deadline=deadline,
-                budgets=self._pair(target, customer, now),
+                budgets=self._budgets_of(target, customer, now),
                 backoff=self.backoff,
             )
 
-    def _pair(self, target: str, customer: str, now: float) -> list[RetryBudget]:
+    def _budgets_of(self, target: str, customer: str, now: float) -> list[RetryBudget]:
         if len(self._budgets) > MAX_BUDGETS:
             self._budgets.clear()
         return [
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_grant_book.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_grant_client.py
@@ -1,4 +1,10 @@
-"""Admission at targets, wherever their queues are kept."""
+"""Admission of calls to targets, by the hosts that keep their queues.
+
+A call is offered to its target's queue and polled until it is admitted or refused, or
+its deadline passes. Grants of admitted calls are renewed every `RENEW_INTERVAL_SECONDS`
+and released when the calls end. While a queue has no reachable holder, for example
+during a takeover, calls wait for a limited time instead of being refused.
+"""
 
 import threading
 import time
@@ -23,29 +29,30 @@
 )
 from swifttide_daemon.targets._queue_service import QueueService
 
-RENEW_SECONDS = 5.0
-"""A third of a grant's life: two renewals may be lost."""
+RENEW_INTERVAL_SECONDS = 5.0
+"""A third of the lease of a grant, so that two renewals in a row can be lost."""
 
-POLL_SECONDS = 2.0
-"""How long a holder may hold an answer back: a connection that has gone silent is
-noticed after this time, and the call asks again under the same id."""
+MAX_POLL_SECONDS = 2.0
+"""Longest time for which the holder may delay the answer of a queued call. A dead
+connection is noticed after about this time; the call then asks again with the same
+id."""
 
-HOLDER_PAUSE_SECONDS = 0.2
-RELEASE_THREADS = 4
-OWN_ZONE_PATIENCE_SECONDS = 15.0
-OTHER_ZONE_PATIENCE_SECONDS = 2.0
+HOLDER_RETRY_SECONDS = 0.2
+N_RELEASE_THREADS = 4
+OWN_ZONE_HOLDER_TIMEOUT_SECONDS = 15.0
+OTHER_ZONE_HOLDER_TIMEOUT_SECONDS = 2.0
 
 
-class GrantBook:
-    """Asks for admission, releases it, and renews what is held.
+class GrantClient:
+    """Acquires, renews and releases grants of targets.
 
     Parameters
     ----------
     membership : MembershipService
     queues : QueueService
-        For targets whose queue is kept here.
+        Queues of the targets whose slots this host holds.
     peers : PeerClient
-        For the others.
+        Connections to the holders of all other queues.
     """
 
     def __init__(
@@ -56,24 +63,24 @@
         self.peers = peers
         self._grants: dict[str, tuple[Target, AcquireRequest]] = {}
         self._lock = threading.Lock()
-        self._releases = ThreadPoolExecutor(RELEASE_THREADS, "release")
+        self._release_pool = ThreadPoolExecutor(N_RELEASE_THREADS, "release")
         self._stop = threading.Event()
-        self._thread = threading.Thread(target=self._run, daemon=True)
+        self._thread = threading.Thread(target=self._renew_grants, daemon=True)
 
     def start(self) -> None:
-        """Renew grants from now on."""
+        """Start the thread that renews grants."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop renewing; releases that are on their way are sent."""
+        """Stop renewing grants, and wait until pending releases are sent."""
         self._stop.set()
-        self._releases.shutdown(wait=True)
+        self._release_pool.shutdown(wait=True)
 
     def acquire(
         self, target: Target, req: AcquireRequest
     ) -> Result[AcquireAnswer, Refusal]:
-        """Ask once; the answer may be "still queued"."""
-        answer = self._ask(target, "acquire", req)
+        """Ask once for admission; the call may still be queued afterwards."""
+        answer = self._send(target, "acquire", req)
         if answer.is_error():
             return answer
         found = answer.ok
@@ -85,39 +92,45 @@
     def wait(
         self, target: Target, req: AcquireRequest, deadline: float
     ) -> Result[AcquireAnswer, Refusal]:
-        """Ask until admitted or refused.
+        """Ask until the call is admitted or refused, or its deadline passes.
 
-        A queue that is on its way to another holder refuses nobody: the call asks
-        again until its deadline.
+        While the queue moves to another holder, nobody can admit the call; it asks
+        again for a limited time, longer in the own zone than in others.
         """
-        unanswered_until = min(deadline, time.monotonic() + self._patience(target))
+        holder_deadline = min(
+            deadline, time.monotonic() + self._holder_timeout_seconds(target)
+        )
         while time.monotonic() < deadline:
             answer = self.acquire(target, req)
             if answer.is_ok() and (answer.ok.admitted or answer.ok.refusal):
                 return answer
             if answer.is_error():
-                late = time.monotonic() >= unanswered_until
+                late = time.monotonic() >= holder_deadline
                 if late or answer.error.reason is Reason.NO_TARGET:
                     return answer
                 self.membership.look_again()
-                time.sleep(HOLDER_PAUSE_SECONDS)
+                time.sleep(HOLDER_RETRY_SECONDS)
         self.withdraw(target, req.ticket_id)
         return Error(
             Refusal(
                 Reason.DEADLINE,
-                "the call's time ran out before a target was free",
+                "the deadline of the call passed before a target was free",
                 retry_after_seconds=1.0,
             )
         )
 
-    def _patience(self, target: Target) -> float:
-        """Return how long a queue without a holder is waited for.
+    def _holder_timeout_seconds(self, target: Target) -> float:
+        """Return the time in seconds to wait for the holder of a queue.
 
-        In the own zone a takeover ends it; another zone may be cut off for long, and
-        there are other targets.
+        In the own zone, another host takes the queue over soon. Another zone may be
+        disconnected for long, and other targets can be tried.
         """
         own = target.zone == self.membership.me.zone
-        return OWN_ZONE_PATIENCE_SECONDS if own else OTHER_ZONE_PATIENCE_SECONDS
+        return (
+            OWN_ZONE_HOLDER_TIMEOUT_SECONDS
+            if own
+            else OTHER_ZONE_HOLDER_TIMEOUT_SECONDS
+        )
 
     def release(
         self,
@@ -126,13 +139,13 @@
         outcome: Outcome,
         on_answer: Callable[[AcquireAnswer], None],
     ) -> None:
-        """End a grant, off the path of the call that is over.
+        """Release a grant in the background, so that the answer is not delayed.
 
-        If the message is lost the grant expires.
+        If the message is lost, the grant expires.
         """
         with self._lock:
             self._grants.pop(ticket_id, None)
-        self._releases.submit(self._release, target, ticket_id, outcome, on_answer)
+        self._release_pool.submit(self._release, target, ticket_id, outcome, on_answer)
 
     def _release(
         self,
@@ -141,15 +154,15 @@
         outcome: Outcome,
         on_answer: Callable[[AcquireAnswer], None],
     ) -> None:
-        answer = self._ask(target, "release", ReleaseRequest(ticket_id, outcome))
+        answer = self._send(target, "release", ReleaseRequest(ticket_id, outcome))
         if answer.is_ok():
             on_answer(answer.ok)
 
     def withdraw(self, target: Target, ticket_id: str) -> None:
-        """Give up a place in a queue."""
-        self._ask(target, "withdraw", WithdrawRequest(ticket_id))
+        """Remove a queued call from its queue."""
+        self._send(target, "withdraw", WithdrawRequest(ticket_id))
 
-    def _ask(
+    def _send(
         self,
         target: Target,
         verb: str,
@@ -158,7 +171,7 @@
         holder = self.membership.holder(SlotKind.TARGET, target.name, target.zone)
         if holder is None:
             return Error(
-                Refusal(Reason.NOT_HOLDER, "nobody holds the target's queue yet")
+                Refusal(Reason.NOT_HOLDER, "no host holds the queue of the target yet")
             )
         if holder.host == self.membership.me.host:
             return self.answer(target.name, message)
@@ -177,27 +190,27 @@
         name: str,
         message: AcquireRequest | ReleaseRequest | RenewRequest | WithdrawRequest,
     ) -> Result[AcquireAnswer, Refusal]:
-        """Answer a host, or oneself, for a target whose queue is kept here."""
-        keeper = self.queues.keeper(name)
-        if keeper.is_error():
-            return keeper
+        """Answer a request of any host for a queue that this host keeps."""
+        manager = self.queues.manager(name)
+        if manager.is_error():
+            return manager
         match message:
             case AcquireRequest():
-                return Ok(keeper.ok.acquire(message))
+                return Ok(manager.ok.acquire(message))
             case ReleaseRequest():
-                return Ok(keeper.ok.release(message))
+                return Ok(manager.ok.release(message))
             case RenewRequest(calls):
-                keeper.ok.renew(calls)
+                manager.ok.renew(calls)
             case WithdrawRequest(ticket_id):
-                keeper.ok.withdraw(ticket_id)
+                manager.ok.withdraw(ticket_id)
         return Ok(AcquireAnswer(False))
 
-    def _run(self) -> None:
-        while not self._stop.wait(RENEW_SECONDS):
+    def _renew_grants(self) -> None:
+        while not self._stop.wait(RENEW_INTERVAL_SECONDS):
             with self._lock:
                 grants = list(self._grants.values())
             by_target: dict[Target, list[AcquireRequest]] = {}
             for target, call in grants:
                 by_target.setdefault(target, []).append(call)
             for target, calls in by_target.items():
-                self._ask(target, "renew", RenewRequest(tuple(calls)))
+                self._send(target, "renew", RenewRequest(tuple(calls)))
