--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -270,7 +270,7 @@
 
     def _note_zones(self) -> None:
         self.config.listen(
-            lambda _changes: self.membership.note_zones(
+            lambda _changes: self.membership.add_known_zones(
                 target.zone for target in self.config.targets()
             )
         )
--- a/packages/swifttide_daemon/src/swifttide_daemon/entry/_dispatcher.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/entry/_dispatcher.py
@@ -157,7 +157,7 @@
             if refusal is not None:
                 yield Failed(refusal)
                 return
-            self.dispatcher.membership.look_again()
+            self.dispatcher.membership.invalidate_views()
             time.sleep(HOLDER_RETRY_INTERVAL_SECONDS)
             yield Waiting()
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_rate_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_rate_limiter.py
@@ -122,7 +122,7 @@
             answer = sent.map(lambda found: msgspec.convert(found, DrawAnswer))
         if answer.is_error():
             if answer.error.reason is Reason.NOT_HOLDER:
-                self.membership.look_again()
+                self.membership.invalidate_views()
             return DrawFailed()
         return answer.ok.batch or answer.ok.refused or DrawFailed()
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/tests/test_rate_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/tests/test_rate_limiter.py
@@ -25,7 +25,7 @@
     def holder(self, kind, key, zone):
         return ME
 
-    def look_again(self):
+    def invalidate_views(self):
         pass
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_lease_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_lease_keeper.py
@@ -88,7 +88,7 @@
                 return self._register()
             return self._write(self.renewal())
 
-    def announce(self, state: HostState) -> bool:
+    def write_state(self, state: HostState) -> bool:
         """Write a new state of this host and tell the zone to look."""
         with self._lock:
             self.row = replace(self.row, state=state)
@@ -99,7 +99,7 @@
         self.row = replace(self.row, renewal=self.row.renewal + 1)
         return self._transaction(announce=False)
 
-    def confirm(self, sent_at: float, row_version: int) -> None:
+    def record_relayed_renewal(self, sent_at: float, row_version: int) -> None:
         """Note a renewal that a peer has sent on this host's behalf."""
         with self._lock:
             self.lease = self.lease.with_renewal(sent_at, row_version)
@@ -142,10 +142,10 @@
                     self.registered_head = versions[1]
                 return True
             case Conflict():
-                self._adopt_or_lose()
+                self._resolve_version_conflict()
                 return False
 
-    def _adopt_or_lose(self) -> None:
+    def _resolve_version_conflict(self) -> None:
         """Find out why a renewal met another version.
 
         An earlier renewal may have taken effect though its answer was lost. Taken for
@@ -155,7 +155,7 @@
         if found.is_error():
             return
         row = host_row_of(found.ok) if found.ok else None
-        if row is not None and _is_same_life(row, self.row):
+        if row is not None and _is_same_incarnation(row, self.row):
             self.lease = replace(self.lease, row_version=found.ok.version)
             return
         log.warning("lease lost: another host deposed this incarnation")
@@ -163,5 +163,5 @@
         self.lease = self.lease.without_registration()
 
 
-def _is_same_life(row: HostRow, own: HostRow) -> bool:
+def _is_same_incarnation(row: HostRow, own: HostRow) -> bool:
     return row.incarnation == own.incarnation and row.state is not HostState.DEAD
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_moved_slots.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_moved_slots.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class SlotMove:
     """One slot's way.
 
     Parameters
@@ -29,11 +29,11 @@
 
     Parameters
     ----------
-    moves : dict of int to Move
+    moves : dict of int to SlotMove
         By slot.
     """
 
-    moves: dict[int, Move]
+    moves: dict[int, SlotMove]
 
     @classmethod
     def from_rows(
@@ -45,5 +45,5 @@
         for row in rows:
             heir = preferred_host(row.slot, live)
             if heir is not None:
-                moves[row.slot] = Move(hosts[heir].peer_url, row.epoch + 1)
+                moves[row.slot] = SlotMove(hosts[heir].peer_url, row.epoch + 1)
         return cls(moves)
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_other_zones.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_other_zones.py
@@ -9,13 +9,13 @@
 from swifttide_daemon.membership._zone_reader import ZoneReader
 from swifttide_daemon.membership._zone_view import ZoneView
 
-WANTED_SECONDS = 5.0
+ROUTED_ZONE_REFRESH_SECONDS = 5.0
 """Age at which the view of a zone that requests go to is read again."""
 
-IDLE_SECONDS = 30.0
+IDLE_ZONE_REFRESH_SECONDS = 30.0
 """The same for a zone that nothing goes to; its hosts may be asked in an outage."""
 
-REREAD_SECONDS = 1.0
+MIN_REREAD_INTERVAL_SECONDS = 1.0
 """Least time between two looks at a zone in which a slot seems free."""
 
 
@@ -33,7 +33,7 @@
     def __init__(self, reader: ZoneReader) -> None:
         self.reader = reader
         self._views: dict[str, ZoneView] = {}
-        self._wanted: set[str] = set()
+        self._routed_zones: set[str] = set()
         self._reread_at: dict[str, float] = {}
 
     def view(self, zone: str) -> ZoneView:
@@ -42,13 +42,13 @@
         A view that was kept for an outage doesn't do: read while the other zone was
         starting, it would send its programs elsewhere until the next refresh.
         """
-        if zone not in self._wanted:
-            self._wanted.add(zone)
+        if zone not in self._routed_zones:
+            self._routed_zones.add(zone)
             read = self.reader.read(zone)
             self._views[zone] = read.default_value(self._views.get(zone, ZoneView()))
         return self._views.get(zone, ZoneView())
 
-    def view_again(self, zone: str) -> ZoneView:
+    def reread_view(self, zone: str) -> ZoneView:
         """Return the view of a zone in which a slot seemed free, read again.
 
         Its hosts may have claimed the slot since. A zone whose hosts are all gone
@@ -56,7 +56,7 @@
         """
         known = self.view(zone)
         now = time.monotonic()
-        if now - self._reread_at.get(zone, 0.0) >= REREAD_SECONDS:
+        if now - self._reread_at.get(zone, 0.0) >= MIN_REREAD_INTERVAL_SECONDS:
             self._reread_at[zone] = now
             self._views[zone] = replace(known, read_at=0.0)
             self.refresh([zone])
@@ -67,7 +67,11 @@
         now = time.monotonic()
         for zone in zones:
             known = self._views.get(zone) or ZoneView()
-            pause = WANTED_SECONDS if zone in self._wanted else IDLE_SECONDS
+            pause = (
+                ROUTED_ZONE_REFRESH_SECONDS
+                if zone in self._routed_zones
+                else IDLE_ZONE_REFRESH_SECONDS
+            )
             if known.read_at > 0.0 and now - known.read_at < pause:
                 continue
             if self._is_unchanged(zone, known):
@@ -77,14 +81,14 @@
             if read.is_ok():
                 self._views[zone] = read.ok
 
-    def look_again(self) -> None:
+    def invalidate(self) -> None:
         """Have every zone read at the next refresh."""
         self._views = {
             zone: replace(view, head_version=-1, read_at=0.0)
             for zone, view in self._views.items()
         }
 
-    def one_host_each(self) -> list[HostRow]:
+    def random_live_hosts(self) -> list[HostRow]:
         """Return one live host of each zone, another one each time."""
         chosen = []
         for view in list(self._views.values()):
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_outage_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_outage_service.py
@@ -20,10 +20,10 @@
 from swifttide_daemon.peers import PeerClient
 from swifttide_daemon.store import Committed, PlatformClient, Transaction
 
-ASK_SECONDS = 0.8
+PROMISE_TIMEOUT_SECONDS = 0.8
 """A host that doesn't answer within this doesn't promise in this round."""
 
-MAX_ASKERS = 16
+MAX_CONCURRENT_REQUESTS = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,19 +65,19 @@
         self.platform = platform
         self.peers = peers
         self.times = times
-        self._book = PromiseState(keeper.row.host)
+        self._promise_state = PromiseState(keeper.row.host)
         self._lock = threading.Lock()
 
     def may_depose(self) -> bool:
         """Return whether this host may depose hosts and claim slots now."""
         with self._lock:
-            return self._book.may_depose(time.monotonic())
+            return self._promise_state.may_depose(time.monotonic())
 
     def answer(self, req: PromiseRequest) -> PromiseAnswer:
         """Promise to depose and claim nothing, or say that the platform is there."""
         seconds = min(req.seconds, self.times.promise_seconds)
         with self._lock:
-            self._book, answer = self._book.answer(
+            self._promise_state, answer = self._promise_state.answer(
                 time.monotonic(), seconds, not self.platform.failing
             )
         match answer:
@@ -106,36 +106,40 @@
         now = time.monotonic()
         asked = ExtensionRound.from_hosts(now, (r.host for r in others), self.times)
         urls = {row.host: row.peer_url for row in others}
-        for answer in self._ask_all(list(urls.values())):
+        for answer in self._request_promises(list(urls.values())):
             found = answer.promise or answer.seen
             if found is not None:
                 asked = asked.with_answer(found)
         for host in sorted(asked.relay_hosts):
-            if self._renew_through(urls[host]):
+            if self._renew_via_peer(urls[host]):
                 return
         self.keeper.extend(asked, self.times)
 
-    def _ask_all(self, urls: list[str]) -> list[PromiseAnswer]:
+    def _request_promises(self, urls: list[str]) -> list[PromiseAnswer]:
         if not urls:
             return []
-        with ThreadPoolExecutor(min(MAX_ASKERS, len(urls))) as pool:
-            answers = list(pool.map(self._ask, urls))
+        with ThreadPoolExecutor(min(MAX_CONCURRENT_REQUESTS, len(urls))) as pool:
+            answers = list(pool.map(self._request_promise, urls))
         return [answer for answer in answers if answer is not None]
 
-    def _ask(self, url: str) -> PromiseAnswer | None:
+    def _request_promise(self, url: str) -> PromiseAnswer | None:
         message = PromiseRequest(self.keeper.row.host, self.times.promise_seconds)
         answer = self.peers.call(
-            url, "POST", "/peer/v1/promises", message, read_seconds=ASK_SECONDS
+            url,
+            "POST",
+            "/peer/v1/promises",
+            message,
+            read_seconds=PROMISE_TIMEOUT_SECONDS,
         )
         if answer.is_error():
             return None
         return msgspec.convert(answer.ok, PromiseAnswer)
 
-    def _renew_through(self, url: str) -> bool:
+    def _renew_via_peer(self, url: str) -> bool:
         sent_at = time.monotonic()
         tx = self.keeper.renewal()
         answer = self.peers.call(url, "POST", "/peer/v1/relays", tx)
         relayed = answer.is_ok() and answer.ok["versions"]
         if relayed:
-            self.keeper.confirm(sent_at, answer.ok["versions"][0])
+            self.keeper.record_relayed_renewal(sent_at, answer.ok["versions"][0])
         return bool(relayed)
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_service.py
@@ -43,7 +43,7 @@
 
 log = logging.getLogger(__name__)
 
-FULL_READ_SECONDS = 30.0
+FULL_READ_INTERVAL_SECONDS = 30.0
 """The zone is read whole this often even when its head seems unchanged."""
 
 
@@ -75,18 +75,18 @@
         self.platform = platform
         self.times = times
         self.n_slots = n_slots
-        self.watch = LeaseMonitor.from_times(times)
+        self.lease_monitor = LeaseMonitor.from_times(times)
         self.view = ZoneView()
         self.others = OtherZones(reader)
         self._known_head = 0
         self._known_zones: set[str] = set()
         self._held: dict[int, int] = {}
         self._held_since: dict[int, float] = {}
-        self._given_up: set[int] = set()
+        self._released_slots: set[int] = set()
         self._moved_listeners: list[Callable[[MovedSlots], None]] = []
         self._lock = threading.Lock()
         self._leaving = False
-        self._watch_at = 0.0
+        self._next_monitor_read_at = 0.0
         self._stop = threading.Event()
         self._wake = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -165,7 +165,7 @@
         slot = self.slot(kind, key)
         found = self._view_of(zone).holder(slot)
         if found is None and zone != self.me.zone:
-            found = self.others.view_again(zone).holder(slot)
+            found = self.others.reread_view(zone).holder(slot)
         return found
 
     def zone_hosts(self) -> list[HostRow]:
@@ -177,7 +177,7 @@
         """Return the zones that targets or hosts are known to stand in."""
         return sorted({self.me.zone, *self._known_zones})
 
-    def note_zones(self, zones: Iterable[str]) -> None:
+    def add_known_zones(self, zones: Iterable[str]) -> None:
         """Learn of zones from the documents of targets."""
         self._known_zones.update(zones)
 
@@ -186,13 +186,13 @@
         hosts = {row.host: row for row in self.zone_hosts()}
         return [hosts[h] for h in ring_successors(self.me.host, hosts)]
 
-    def hosts_elsewhere(self) -> list[HostRow]:
+    def random_hosts_of_other_zones(self) -> list[HostRow]:
         """Return one live host of each other zone."""
-        return self.others.one_host_each()
+        return self.others.random_live_hosts()
 
-    def look_again(self) -> None:
+    def invalidate_views(self) -> None:
         """Read the zone soon: a holder wasn't where the view has it."""
-        self.others.look_again()
+        self.others.invalidate()
         self.view = replace(self.view, head_version=-1)
         self._wake.set()
 
@@ -215,17 +215,17 @@
         renew_at = 0.0
         while not self._stop.is_set():
             try:
-                if time.monotonic() >= renew_at or self._must_tell_head():
+                if time.monotonic() >= renew_at or self._must_publish_head():
                     renew_at = time.monotonic() + self.times.renew_seconds
                     self._keep_lease()
-                self._look()
+                self._refresh()
             except Exception:
                 # An odd row must not end the thread that keeps the lease.
                 log.exception("membership step failed")
             self._wake.wait(self.times.renew_seconds / 2)
             self._wake.clear()
 
-    def _must_tell_head(self) -> bool:
+    def _must_publish_head(self) -> bool:
         """Return whether the own row doesn't tell yet that the own join was seen."""
         joined = self.keeper.registered_head
         return self.me.knows_head < joined <= self._known_head
@@ -243,21 +243,21 @@
                 self._held.clear()
                 self._held_since.clear()
 
-    def _look(self) -> None:
+    def _refresh(self) -> None:
         if not self.platform.available:
             return
         if self._leaving and self.me.state is HostState.LIVE:
-            self.keeper.announce(HostState.LEAVING)
+            self.keeper.write_state(HostState.LEAVING)
         head = self.reader.head_version(self.me.zone)
         if head.is_error():
             return
         age = time.monotonic() - self.view.read_at
-        if head.ok != self.view.head_version or age > FULL_READ_SECONDS:
+        if head.ok != self.view.head_version or age > FULL_READ_INTERVAL_SECONDS:
             self._read_zone()
-        if time.monotonic() >= self._watch_at:
+        if time.monotonic() >= self._next_monitor_read_at:
             # Rows change once a renewal; reading them twice as often tells nothing.
-            self._watch_at = time.monotonic() + self.times.renew_seconds
-            self._watch_neighbours()
+            self._next_monitor_read_at = time.monotonic() + self.times.renew_seconds
+            self._monitor_neighbours()
         if self.keeper.holds():
             is_known = self.me.knows_head >= self.keeper.registered_head
             if is_known and self.outages.may_depose():
@@ -277,25 +277,29 @@
             if row.host == self.me.host and row.incarnation == self.me.incarnation
         }
         with self._lock:
-            self._held = {s: e for s, e in mine.items() if s not in self._given_up}
+            self._held = {
+                s: e for s, e in mine.items() if s not in self._released_slots
+            }
             now = time.monotonic()
             since = self._held_since
             self._held_since = {s: since.get(s, now) for s in self._held}
 
-    def _watch_neighbours(self) -> None:
+    def _monitor_neighbours(self) -> None:
         neighbours = self.neighbours()
-        self.watch.retain_hosts(row.host for row in neighbours)
+        self.lease_monitor.retain_hosts(row.host for row in neighbours)
         for row in neighbours:
             found = self.platform.read(HOSTS, row.key)
             if found.is_ok() and found.ok is not None:
-                self.watch.observe(time.monotonic(), row.host, found.ok.version)
+                self.lease_monitor.observe(time.monotonic(), row.host, found.ok.version)
         if not self.outages.may_depose():
             return
-        waits = {row.host: self._depose_wait(row) for row in neighbours}
-        for host, version in self.watch.expired_leases(time.monotonic(), waits).items():
+        waits = {row.host: self._depose_delay(row) for row in neighbours}
+        for host, version in self.lease_monitor.expired_leases(
+            time.monotonic(), waits
+        ).items():
             self._depose(self.view.hosts[host], version)
 
-    def _depose_wait(self, row: HostRow) -> float:
+    def _depose_delay(self, row: HostRow) -> float:
         return depose_delay_seconds(
             self.times,
             self.outages.times,
@@ -335,7 +339,7 @@
         ]
         if self._write_slots(claimed):
             with self._lock:
-                self._given_up.difference_update(row.slot for row in claimed)
+                self._released_slots.difference_update(row.slot for row in claimed)
         self._read_zone()
 
     def _hand_over_slots(self) -> None:
@@ -348,7 +352,7 @@
             for row in moving:
                 self._held.pop(row.slot, None)
                 self._held_since.pop(row.slot, None)
-                self._given_up.add(row.slot)
+                self._released_slots.add(row.slot)
         freed = [replace(row, host="", incarnation="") for row in moving]
         if self._write_slots(freed):
             moved = MovedSlots.from_rows(freed, self.view.hosts)
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_lease_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_lease_keeper.py
@@ -35,7 +35,7 @@
 
 
 class TestLeaseKeeper:
-    def test_lost_answer_keeps_the_lease(self):
+    def test_lost_renewal_response_keeps_the_lease(self):
         """The platform takes a renewal in and its answer is lost, so the next one
         meets a version that the host doesn't know. Taken for a deposition, the host
         would give up all its slots and every turn under way.
@@ -51,7 +51,7 @@
         assert host.holds()
         assert host.row.incarnation == incarnation
 
-    def test_deposed_host_starts_a_new_life(self):
+    def test_deposed_host_registers_a_new_incarnation(self):
         """Another host took the slots. Going on under the old incarnation, this one
         would take slots for its own that are not.
         """
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_other_zones.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_other_zones.py
@@ -56,10 +56,10 @@
         reader.view = None
         assert zones.view("b").hosts == STARTED.hosts
 
-    def test_free_slot_is_looked_at_again(self):
+    def test_view_is_reread_when_a_slot_seems_free(self):
         """A request came while the zone was starting; the next one must find it."""
         reader = Reader()
         zones = OtherZones(reader)
         zones.view("b")
         reader.view = STARTED
-        assert zones.view_again("b").hosts == STARTED.hosts
+        assert zones.reread_view("b").hosts == STARTED.hosts
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_service.py
@@ -29,13 +29,13 @@
 
 
 class TestMembershipService:
-    def test_row_keeps_the_known_head_when_the_zone_is_read_again(self):
+    def test_lease_row_keeps_known_head_after_view_is_invalidated(self):
         """A call misses its holder, so the zone is to be read again, and the host dies
         just then. Its row would say that it knew nobody; the others would wait an
         hour before they take its slots, and its programs would stand still.
         """
         membership = service()
         membership._read_zone()
-        membership.look_again()
+        membership.invalidate_views()
         membership._keep_lease()
         assert membership.keeper.written == [7]
--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_heartbeat.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_heartbeat.py
@@ -69,7 +69,7 @@
         while not self._stop.wait(PERIOD_SECONDS):
             rows = self.membership.neighbours()
             if self.config.fresh_age() > OWN_ZONE_SECONDS:
-                rows += self.membership.hosts_elsewhere()
+                rows += self.membership.random_hosts_of_other_zones()
             for row in rows:
                 try:
                     self._beat(row)
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_grant_book.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_grant_book.py
@@ -99,7 +99,7 @@
                 late = time.monotonic() >= unanswered_until
                 if late or answer.error.reason is Reason.NO_TARGET:
                     return answer
-                self.membership.look_again()
+                self.membership.invalidate_views()
                 time.sleep(HOLDER_PAUSE_SECONDS)
         self.withdraw(target, req.ticket_id)
         return Error(
