--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_lease_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_lease_keeper.py
@@ -1,4 +1,9 @@
-"""Registration and renewal of this host's lease row."""
+"""Registration and renewal of this host's lease.
+
+The lease is a row in the platform's ``hosts`` table. Every write of the row is
+conditional on the version that this host last knew. Other hosts depose a host whose
+row stops changing by marking the row as dead.
+"""
 
 import logging
 import threading
@@ -34,22 +39,24 @@
 
 
 class LeaseKeeper:
-    """The lease row of this host and what it entitles to.
+    """Writes this host's lease row and tracks how long the lease is valid.
 
     Parameters
     ----------
     platform : PlatformClient
     row : HostRow
-        Row of this incarnation.
+        Initial lease row of this host.
     times : LeaseTimes
     config_version : callable
-        Returns the configuration version in force here; it goes into the row, so
-        that operators see how far an edit has come without further messages.
+        Returns the configuration version in force on this host. It is written into
+        the lease row, so that operators can see which hosts have applied an edit
+        without further requests.
 
     Attributes
     ----------
     registered_head : int
-        Version of the zone's head row that this host's registration made.
+        Version of the zone's head row after this host's registration; 0 while this
+        host isn't registered.
     """
 
     def __init__(
@@ -67,20 +74,20 @@
         self._lock = threading.RLock()
 
     def set_urls(self, caller_url: str, peer_url: str) -> None:
-        """Set where this host is reached, known once its ports are bound."""
+        """Set the URLs of this host, which are known once its ports are bound."""
         self.row = replace(self.row, caller_url=caller_url, peer_url=peer_url)
 
     def holds(self) -> bool:
-        """Return whether this host may act as a holder right now."""
+        """Return whether the lease is valid, so that this host may use its slots."""
         return self.lease.is_valid(time.monotonic())
 
     def keep(self, knows_head: int) -> bool:
-        """Register or renew; return whether the lease is confirmed now.
+        """Register this host or renew its lease; return whether the platform confirmed.
 
         Parameters
         ----------
         knows_head : int
-            Version of the zone's head row that this host has read the zone at.
+            Version of the zone's head row at this host's last read of the zone.
         """
         with self._lock:
             self.row = replace(self.row, knows_head=max(0, knows_head))
@@ -89,23 +96,34 @@
             return self._write(self.renewal())
 
     def write_state(self, state: HostState) -> bool:
-        """Write a new state of this host and tell the zone to look."""
+        """Write a new state of this host and update the zone's head row.
+
+        The newer version of the head row makes the other hosts read the zone again.
+        """
         with self._lock:
             self.row = replace(self.row, state=state)
             return self._write(self._transaction(announce=True))
 
     def renewal(self) -> Transaction:
-        """Return the transaction that renews the lease."""
+        """Increment the renewal counter and return the transaction to commit."""
         self.row = replace(self.row, renewal=self.row.renewal + 1)
         return self._transaction(announce=False)
 
     def record_relayed_renewal(self, sent_at: float, row_version: int) -> None:
-        """Note a renewal that a peer has sent on this host's behalf."""
+        """Record a renewal that a peer has committed on this host's behalf.
+
+        Parameters
+        ----------
+        sent_at : float
+            Monotonic seconds before the request was sent to the peer.
+        row_version : int
+            Version of the lease row after the renewal.
+        """
         with self._lock:
             self.lease = self.lease.with_renewal(sent_at, row_version)
 
     def extend(self, answers: ExtensionRound, times: ExtensionTimes) -> None:
-        """Let the lease stand as far as the zone's hosts have promised."""
+        """Extend the lease, if it is valid, as far as the hosts' promises allow."""
         with self._lock:
             self.lease = answers.extend(self.lease, time.monotonic(), times)
 
@@ -114,7 +132,8 @@
         if found.is_error():
             return False
         version = found.ok.version if found.ok else 0
-        # A new incarnation: slots of the former one must not pass for ours.
+        # Each registration starts a new incarnation, so that slots claimed by the
+        # previous one don't count as held.
         self.row = replace(self.row, incarnation=new_id(), state=HostState.LIVE)
         tx = self._transaction(announce=True, base_version=version)
         return self._write(tx)
@@ -131,7 +150,7 @@
 
     def _write(self, tx: Transaction) -> bool:
         sent_at = time.monotonic()
-        # One try: a renewal that waits for its retries outlives the lease.
+        # No retries: a renewal that waits for retries may outlast the lease.
         outcome = self.platform.commit(tx, tries=1)
         if outcome.is_error():
             return False
@@ -146,10 +165,11 @@
                 return False
 
     def _resolve_version_conflict(self) -> None:
-        """Find out why a renewal met another version.
+        """Read the lease row to find out why a write met an unexpected version.
 
-        An earlier renewal may have taken effect though its answer was lost. Taken for
-        a deposition, one lost answer would cost this host all its slots.
+        An earlier renewal may have been committed although its response was lost. In
+        that case this host adopts the row's version. If it assumed a deposition
+        instead, one lost response would cost this host all its slots.
         """
         found = self.platform.read(HOSTS, self.row.key)
         if found.is_error():
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_moved_slots.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_moved_slots.py
@@ -1,4 +1,4 @@
-"""Slots that a host has given up, and who should take them."""
+"""Slots released in a planned handover, and the hosts that should claim them."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotMove:
-    """One slot's way.
+    """Destination of one released slot.
 
     Parameters
     ----------
     peer_url : str
-        Of the host that should claim it.
+        Peer URL of the host that should claim the slot.
     next_epoch : int
-        Epoch that the next claim makes.
+        Epoch of the slot after that host has claimed it.
     """
 
     peer_url: str
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MovedSlots:
-    """Slots that were given up together.
+    """Slots that were released together.
 
     Parameters
     ----------
     moves : dict of int to SlotMove
-        By slot.
+        Destination by slot number. Slots without a live host to claim them are absent.
     """
 
     moves: dict[int, SlotMove]
@@ -39,11 +39,11 @@
     def from_rows(
         cls, rows: Iterable[SlotRow], hosts: Mapping[str, HostRow]
     ) -> "MovedSlots":
-        """Return where slots that were just freed should go."""
+        """Assign each released slot to the live host preferred for it."""
         live = [h for h, row in hosts.items() if row.state is HostState.LIVE]
         moves = {}
         for row in rows:
-            heir = preferred_host(row.slot, live)
-            if heir is not None:
-                moves[row.slot] = SlotMove(hosts[heir].peer_url, row.epoch + 1)
+            new_holder = preferred_host(row.slot, live)
+            if new_holder is not None:
+                moves[row.slot] = SlotMove(hosts[new_holder].peer_url, row.epoch + 1)
         return cls(moves)
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_other_zones.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_other_zones.py
@@ -1,4 +1,8 @@
-"""What a host knows of the other zones' hosts and slots."""
+"""Cached views of the hosts and slots of other availability zones.
+
+The views are refreshed periodically, and out of turn when a request finds no holder
+for a slot.
+"""
 
 import random
 import time
@@ -10,24 +14,29 @@
 from swifttide_daemon.membership._zone_view import ZoneView
 
 ROUTED_ZONE_REFRESH_SECONDS = 5.0
-"""Age at which the view of a zone that requests go to is read again."""
+"""Age at which the view of a zone that this host has sent requests to is refreshed."""
 
 IDLE_ZONE_REFRESH_SECONDS = 30.0
-"""The same for a zone that nothing goes to; its hosts may be asked in an outage."""
+"""Age at which the view of any other zone is refreshed.
+
+Such a view is kept because this host may query the zone's hosts during an outage of
+the platform.
+"""
 
 MIN_REREAD_INTERVAL_SECONDS = 1.0
-"""Least time between two looks at a zone in which a slot seems free."""
+"""Minimum time between two reads of a zone in which a slot seems to have no holder."""
 
 
 class OtherZones:
-    """Views of other zones, refreshed on the membership service's thread.
+    """Cached views of other zones, refreshed on the membership service's thread.
 
-    Read on a request's path, a platform that hangs would hold up each request for its
-    timeout.
+    Requests use the cached views. If they read the platform themselves, a platform
+    that hangs would delay each request by the read timeout.
 
     Parameters
     ----------
     reader : ZoneReader
+        Reads the hosts and slots of one zone from the platform.
     """
 
     def __init__(self, reader: ZoneReader) -> None:
@@ -37,10 +46,11 @@
         self._reread_at: dict[str, float] = {}
 
     def view(self, zone: str) -> ZoneView:
-        """Return the view of a zone, read at once only the first time.
+        """Return the view of a zone; the first call for a zone reads it.
 
-        A view that was kept for an outage doesn't do: read while the other zone was
-        starting, it would send its programs elsewhere until the next refresh.
+        The first call doesn't use a view that `refresh` cached for outages: if that
+        view was read while the other zone was starting, it lacks hosts, and the zone's
+        programs would be served elsewhere until the next refresh.
         """
         if zone not in self._routed_zones:
             self._routed_zones.add(zone)
@@ -49,10 +59,11 @@
         return self._views.get(zone, ZoneView())
 
     def reread_view(self, zone: str) -> ZoneView:
-        """Return the view of a zone in which a slot seemed free, read again.
+        """Refresh and return the view of a zone in which a slot seems free.
 
-        Its hosts may have claimed the slot since. A zone whose hosts are all gone
-        costs one small read a second.
+        A host of the zone may have claimed the slot since the last read. The refresh
+        is limited to one per `MIN_REREAD_INTERVAL_SECONDS`, so a zone without any
+        hosts costs one small read per second.
         """
         known = self.view(zone)
         now = time.monotonic()
@@ -63,7 +74,7 @@
         return self._views[zone]
 
     def refresh(self, zones: Iterable[str]) -> None:
-        """Read again what is old and has changed."""
+        """Read the zones whose view is due for a refresh and whose head row changed."""
         now = time.monotonic()
         for zone in zones:
             known = self._views.get(zone) or ZoneView()
@@ -82,14 +93,14 @@
                 self._views[zone] = read.ok
 
     def invalidate(self) -> None:
-        """Have every zone read at the next refresh."""
+        """Mark all cached views as out of date, so that the next refresh reads them."""
         self._views = {
             zone: replace(view, head_version=-1, read_at=0.0)
             for zone, view in self._views.items()
         }
 
     def random_live_hosts(self) -> list[HostRow]:
-        """Return one live host of each zone, another one each time."""
+        """Return one live host of each other zone, chosen at random on each call."""
         chosen = []
         for view in list(self._views.values()):
             rows = [r for r in view.hosts.values() if r.state is HostState.LIVE]
@@ -98,6 +109,6 @@
         return chosen
 
     def _is_unchanged(self, zone: str, known: ZoneView) -> bool:
-        """Return whether a zone's head stands still, or can't be read now."""
+        """Return whether a zone's head version is unchanged or can't be read."""
         head = self.reader.head_version(zone)
         return head.is_error() or head.ok == known.head_version
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_outage_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_outage_service.py
@@ -1,4 +1,10 @@
-"""Keeps a zone's leases while the platform is away, by promises of all its hosts."""
+"""Extends this host's lease while the platform is unavailable.
+
+A host that can't renew its lease asks all other hosts of its zone to promise that
+they depose no host and claim no slot for some time. While every host promises, the
+lease may be extended without the platform. If one of them still reaches the platform,
+the host renews through it instead.
+"""
 
 import threading
 import time
@@ -21,14 +27,22 @@
 from swifttide_daemon.store import Committed, PlatformClient, Transaction
 
 PROMISE_TIMEOUT_SECONDS = 0.8
-"""A host that doesn't answer within this doesn't promise in this round."""
+"""Read timeout of a promise request; a late answer counts as no promise."""
 
 MAX_CONCURRENT_REQUESTS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class PromiseRequest:
-    """A host that can't renew asks the others to let its lease stand."""
+    """Request of a host that can't renew its lease, sent to the others of its zone.
+
+    Parameters
+    ----------
+    host : str
+        Id of the requesting host.
+    seconds : float
+        Requested duration of the promise.
+    """
 
     host: str
     seconds: float
@@ -36,14 +50,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseAnswer:
-    """Exactly one of the two is set."""
+    """Answer to a `PromiseRequest`; exactly one of the two fields is set.
+
+    Parameters
+    ----------
+    promise : Promise or None
+        Set when the answering host can't reach the platform either.
+    seen : PlatformSeen or None
+        Set when the answering host reaches the platform.
+    """
 
     promise: Promise | None = None
     seen: PlatformSeen | None = None
 
 
 class OutageService:
-    """Asks for promises and gives them.
+    """Requests promises for this host's lease and answers requests of other hosts.
 
     Parameters
     ----------
@@ -51,7 +73,9 @@
         Lease of this host.
     platform : PlatformClient
     peers : PeerClient
+        Sends the requests to the other hosts.
     times : ExtensionTimes
+        Durations of promises and lease extensions.
     """
 
     def __init__(
@@ -69,12 +93,15 @@
         self._lock = threading.Lock()
 
     def may_depose(self) -> bool:
-        """Return whether this host may depose hosts and claim slots now."""
+        """Return whether no promise keeps this host from deposing and claiming now."""
         with self._lock:
             return self._promise_state.may_depose(time.monotonic())
 
     def answer(self, req: PromiseRequest) -> PromiseAnswer:
-        """Promise to depose and claim nothing, or say that the platform is there."""
+        """Promise to depose no host and claim no slot, or report a reachable platform.
+
+        The promise lasts `req.seconds`, limited to the configured promise duration.
+        """
         seconds = min(req.seconds, self.times.promise_seconds)
         with self._lock:
             self._promise_state, answer = self._promise_state.answer(
@@ -87,12 +114,15 @@
                 return PromiseAnswer(seen=answer)
 
     def relay(self, tx: Transaction) -> tuple[int, ...]:
-        """Commit a renewal for a host that doesn't see the platform.
+        """Commit a lease renewal for a host that can't reach the platform.
+
+        Transactions that write to tables other than ``hosts`` are rejected.
 
         Returns
         -------
         tuple of int
-            Versions of the rows; empty when it isn't known to have taken effect.
+            Versions of the written rows; empty if the transaction was rejected or isn't
+            known to have been committed.
         """
         if any(write.table != HOSTS for write in tx.writes):
             return ()
@@ -102,7 +132,13 @@
         return ()
 
     def extend(self, others: list[HostRow]) -> None:
-        """Ask all other hosts of the zone to let this host's lease stand."""
+        """Extend this host's lease by promises, or renew it through another host.
+
+        Parameters
+        ----------
+        others : list of HostRow
+            All other hosts of the zone that aren't dead.
+        """
         now = time.monotonic()
         asked = ExtensionRound.from_hosts(now, (r.host for r in others), self.times)
         urls = {row.host: row.peer_url for row in others}
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_service.py
@@ -1,4 +1,10 @@
-"""Who is in the zone, which slots this host holds, and who holds the others."""
+"""Membership of this host in its zone, and the assignment of slots to hosts.
+
+One thread renews this host's lease, monitors the leases of neighbouring hosts, deposes
+hosts whose lease has expired, claims free slots and hands over slots that another
+host should hold. Other threads read from the cached views which host decides for a
+key. Keys are hashed to the slots of a zone.
+"""
 
 import logging
 import threading
@@ -44,20 +50,24 @@
 log = logging.getLogger(__name__)
 
 FULL_READ_INTERVAL_SECONDS = 30.0
-"""The zone is read whole this often even when its head seems unchanged."""
+"""Interval of full reads of the zone while its head row seems unchanged."""
 
 
 class MembershipService:
-    """Lease, slots and neighbours of this host, kept on one thread.
+    """Maintains the lease, the slots and the zone view of this host on one thread.
 
     Parameters
     ----------
     keeper : LeaseKeeper
+        Lease of this host.
     reader : ZoneReader
     platform : PlatformClient
     times : LeaseTimes
+        Durations of the lease and of its renewal interval.
     n_slots : int
+        Number of slots of each zone.
     outages : OutageService
+        Extends the lease while the platform is unavailable.
     """
 
     def __init__(
@@ -99,7 +109,7 @@
         keeper: LeaseKeeper,
         outages: OutageService,
     ) -> "MembershipService":
-        """Return a service that isn't started yet."""
+        """Return a service that hasn't been started."""
         return cls(
             keeper=keeper,
             reader=ZoneReader(platform, settings.n_slots),
@@ -111,34 +121,34 @@
 
     @property
     def me(self) -> HostRow:
-        """Row of this host."""
+        """Lease row of this host."""
         return self.keeper.row
 
     def start(self) -> None:
-        """Register and keep the lease from now on."""
+        """Start the thread that registers this host and renews its lease."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop renewing."""
+        """Stop the membership thread; the lease then expires."""
         self._stop.set()
         self._wake.set()
         self._thread.join(timeout=self.times.lease_seconds)
 
     def slot(self, kind: SlotKind, key: str) -> int:
-        """Return the slot of a key."""
+        """Return the slot number that a key hashes to."""
         return slot_of(kind, key, self.n_slots)
 
     def epoch(self, kind: SlotKind, key: str) -> int | None:
-        """Return the epoch under which this host decides for a key, or None."""
+        """Return the epoch of a key's slot, or None if this host doesn't hold it."""
         if not self.keeper.holds():
             return None
         with self._lock:
             return self._held.get(self.slot(kind, key))
 
     def fence(self, kind: SlotKind, key: str, epoch: int) -> Check | None:
-        """Return the condition that a write of a key's holder is fenced by.
+        """Return a check that fails a write once the key's slot has changed hands.
 
-        None when the slot isn't known to be held here under `epoch`.
+        Returns None if the slot's epoch in this host's view isn't `epoch`.
         """
         slot = self.slot(kind, key)
         rows = self.view.slots
@@ -147,20 +157,23 @@
         return Check(SLOTS, slot_key(self.me.zone, slot), rows[slot].version)
 
     def held_since(self, kind: SlotKind, key: str) -> float | None:
-        """Return since when this host has held a key's slot without a break."""
+        """Return the monotonic time at which this host got a key's slot, or None."""
         with self._lock:
             return self._held_since.get(self.slot(kind, key))
 
     def on_moved(self, listener: Callable[[MovedSlots], None]) -> None:
-        """Call `listener` after slots were given up in a planned way."""
+        """Register a callback for slots released in a planned handover."""
         self._moved_listeners.append(listener)
 
     def lease_remaining(self) -> float:
-        """Return the seconds for which this host may still act as a holder."""
+        """Return the seconds for which this host's lease is still valid."""
         return self.keeper.lease.remaining_seconds(time.monotonic())
 
     def holder(self, kind: SlotKind, key: str, zone: str = "") -> HostRow | None:
-        """Return the host that decides for a key, or None while nobody does."""
+        """Return the host that holds a key's slot in a zone, or None if no host does.
+
+        An empty `zone` stands for the zone of this host.
+        """
         zone = zone or self.me.zone
         slot = self.slot(kind, key)
         found = self._view_of(zone).holder(slot)
@@ -169,42 +182,45 @@
         return found
 
     def zone_hosts(self) -> list[HostRow]:
-        """Return the hosts of the own zone that aren't dead."""
+        """Return the hosts of this host's zone that aren't dead, this host included."""
         rows = self.view.hosts.values()
         return [row for row in rows if row.state is not HostState.DEAD]
 
     def zones(self) -> list[str]:
-        """Return the zones that targets or hosts are known to stand in."""
+        """Return this host's zone and the zones added by `add_known_zones`, sorted."""
         return sorted({self.me.zone, *self._known_zones})
 
     def add_known_zones(self, zones: Iterable[str]) -> None:
-        """Learn of zones from the documents of targets."""
+        """Add zones, named by the configuration documents of targets."""
         self._known_zones.update(zones)
 
     def neighbours(self) -> list[HostRow]:
-        """Return the hosts that this one watches."""
+        """Return the hosts whose leases this host monitors."""
         hosts = {row.host: row for row in self.zone_hosts()}
         return [hosts[h] for h in ring_successors(self.me.host, hosts)]
 
     def random_hosts_of_other_zones(self) -> list[HostRow]:
-        """Return one live host of each other zone."""
+        """Return one random live host of each other zone."""
         return self.others.random_live_hosts()
 
     def invalidate_views(self) -> None:
-        """Read the zone soon: a holder wasn't where the view has it."""
+        """Have all zones read again soon.
+
+        Called when a host that holds a slot by the view didn't turn out to hold it.
+        """
         self.others.invalidate()
         self.view = replace(self.view, head_version=-1)
         self._wake.set()
 
     def hand_over(self) -> bool:
-        """Ask for this host's slots to be given up; return whether they are."""
+        """Request the release of this host's slots; return whether none is held."""
         self._leaving = True
         self._wake.set()
         with self._lock:
             return not self._held
 
     def held(self) -> dict[int, int]:
-        """Return the epochs of the slots that this host holds, by slot."""
+        """Return the epochs of the slots that this host holds, by slot number."""
         with self._lock:
             return dict(self._held)
 
@@ -220,20 +236,25 @@
                     self._keep_lease()
                 self._refresh()
             except Exception:
-                # An odd row must not end the thread that keeps the lease.
-                log.exception("membership step failed")
+                # A malformed row must not end the thread that renews the lease.
+                log.exception("membership update failed")
             self._wake.wait(self.times.renew_seconds / 2)
             self._wake.clear()
 
     def _must_publish_head(self) -> bool:
-        """Return whether the own row doesn't tell yet that the own join was seen."""
+        """Return whether the lease row must be written before the next renewal.
+
+        That is the case once this host has read the zone at or after its own
+        registration and its lease row doesn't show that yet.
+        """
         joined = self.keeper.registered_head
         return self.me.knows_head < joined <= self._known_head
 
     def _keep_lease(self) -> None:
         incarnation = self.me.incarnation
-        # Not the view's head, which is forgotten when the zone must be read again: a
-        # host that dies with too old a head in its row isn't deposed for an hour.
+        # The view's head version isn't used, because it is reset when the view is
+        # invalidated. A host that dies with too old a head version in its lease row
+        # isn't deposed for an hour.
         confirmed = self.keeper.keep(self._known_head)
         if not confirmed and self.platform.failing:
             others = [r for r in self.zone_hosts() if r.host != self.me.host]
@@ -255,7 +276,8 @@
         if head.ok != self.view.head_version or age > FULL_READ_INTERVAL_SECONDS:
             self._read_zone()
         if time.monotonic() >= self._next_monitor_read_at:
-            # Rows change once a renewal; reading them twice as often tells nothing.
+            # Lease rows change once per renewal interval, and this loop runs twice as
+            # often; more frequent reads give no information.
             self._next_monitor_read_at = time.monotonic() + self.times.renew_seconds
             self._monitor_neighbours()
         if self.keeper.holds():
@@ -308,11 +330,12 @@
         )
 
     def _depose(self, row: HostRow, version: int) -> None:
-        """End an incarnation whose lease lapsed.
+        """Mark the lease row of a host whose lease has expired as dead.
 
-        Conditional on the version that stood still: a renewal in the meantime wins,
-        and after the write the deposed host's own renewal fails. Conditional on the
-        own row too: a host that was deposed itself and wakes up deposes nobody.
+        The write is conditional on the row version that has stayed unchanged. It fails
+        if the host has renewed in the meantime; if it succeeds, the deposed host's next
+        renewal fails. The write is also conditional on this host's own lease row, so
+        that a host that was itself deposed while suspended can't depose others.
         """
         dead = replace(row, state=HostState.DEAD)
         own = Check(HOSTS, self.me.key, self.keeper.lease.row_version)
@@ -325,7 +348,9 @@
         )
         outcome = self.platform.commit(tx)
         if outcome.is_ok() and isinstance(outcome.ok, Committed):
-            log.warning("deposed a host whose lease lapsed", extra={"peer": row.host})
+            log.warning(
+                "deposed a host whose lease has expired", extra={"peer": row.host}
+            )
             self._read_zone()
 
     def _claim_slots(self) -> None:
@@ -346,8 +371,8 @@
         moving = plan_handovers(self.me.host, self.view.slots, self.view.hosts)
         if not moving:
             return
-        # This host stops deciding BEFORE the row says so; the other way round two
-        # hosts would hand out one customer's rate for a moment.
+        # This host stops acting for the slots before it writes the rows. In the
+        # opposite order, two hosts would briefly grant the rate of one customer.
         with self._lock:
             for row in moving:
                 self._held.pop(row.slot, None)
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_zone_reader.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_zone_reader.py
@@ -1,4 +1,4 @@
-"""Reading the hosts and slots of a zone from the platform."""
+"""Reads the hosts and slots of a zone from the platform's store."""
 
 import time
 
@@ -17,13 +17,16 @@
 
 
 class ZoneReader:
-    """Reads zones; the head row tells whether anything changed.
+    """Reads zones from the platform.
+
+    Each zone has a head row, whose version increases with every change of the zone's
+    hosts or slots. Reading it alone shows whether the zone must be read again.
 
     Parameters
     ----------
     platform : PlatformClient
     n_slots : int
-        Slots of a zone.
+        Number of slots of each zone.
     """
 
     def __init__(self, platform: PlatformClient, n_slots: int) -> None:
@@ -36,10 +39,10 @@
         return row.map(lambda found: found.version if found else 0)
 
     def read(self, zone: str) -> Result[ZoneView, PlatformError]:
-        """Read a zone whole.
+        """Read the head row, all hosts and all slots of a zone.
 
-        The head is read first: a change that falls between the reads makes the head
-        differ at the next look, and the zone is read again.
+        The head row is read first. If the zone changes between the reads, the next
+        comparison finds a newer head version, and the zone is read again.
         """
         head = self.head_version(zone)
         if head.is_error():
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_zone_view.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_zone_view.py
@@ -1,4 +1,4 @@
-"""What a host knows of the hosts and slots of one availability zone."""
+"""Snapshot of the hosts and slots of one availability zone."""
 
 from dataclasses import dataclass, field
 
@@ -7,18 +7,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneView:
-    """Hosts and slots of a zone as last read.
+    """Hosts and slots of a zone as last read from the platform.
 
     Parameters
     ----------
     head_version : int
-        Version of the zone's head row before the rest was read.
+        Version of the zone's head row, read before the hosts and slots. Every change
+        to the zone's membership increments it. -1 means that the view is out of date.
     hosts : dict of str to HostRow
-        By host id.
+        Rows of the zone's hosts by host id.
     slots : tuple of SlotRow
-        One for each slot, in order.
+        One row per slot, indexed by slot number; empty before the first read.
     read_at : float
-        Monotonic seconds.
+        Time of the read in monotonic seconds; 0.0 before the first read.
     """
 
     head_version: int = -1
@@ -27,7 +28,7 @@
     read_at: float = 0.0
 
     def holder(self, slot: int) -> HostRow | None:
-        """Return the host that holds a slot, or None while it is free."""
+        """Return the host that holds a slot, or None while no host holds it."""
         if slot >= len(self.slots):
             return None
         row = self.slots[slot]
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_lease_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_lease_keeper.py
@@ -1,4 +1,4 @@
-"""Registration and renewal when the platform's answers get lost."""
+"""Tests of lease registration and renewal after lost responses and depositions."""
 
 from dataclasses import replace
 
@@ -10,7 +10,7 @@
 
 
 class Platform:
-    """One row, whose writer may lose the answer."""
+    """Platform with one row; a commit loses its response if `lose_answer` is set."""
 
     def __init__(self):
         self.row = None
@@ -36,9 +36,9 @@
 
 class TestLeaseKeeper:
     def test_lost_renewal_response_keeps_the_lease(self):
-        """The platform takes a renewal in and its answer is lost, so the next one
-        meets a version that the host doesn't know. Taken for a deposition, the host
-        would give up all its slots and every turn under way.
+        """The platform commits a renewal and its response is lost, so the next renewal
+        meets an unexpected version. If the host assumed a deposition, it would give up
+        all its slots and every turn in progress.
         """
         host = keeper()
         assert host.keep(0)
@@ -52,8 +52,8 @@
         assert host.row.incarnation == incarnation
 
     def test_deposed_host_registers_a_new_incarnation(self):
-        """Another host took the slots. Going on under the old incarnation, this one
-        would take slots for its own that are not.
+        """Another host has taken the slots. If this host continued under its old
+        incarnation, it would treat slots as its own that it no longer holds.
         """
         host = keeper()
         assert host.keep(0)
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_other_zones.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_other_zones.py
@@ -1,4 +1,4 @@
-"""Views of other zones, as requests and outages need them."""
+"""Tests of the cached views of other zones."""
 
 from expression import Error, Ok
 
@@ -9,7 +9,7 @@
 
 
 class Reader:
-    """Reads what it was last given."""
+    """Zone reader that returns `view`, or an error while `view` is None."""
 
     def __init__(self):
         self.view = ZoneView(head_version=1, read_at=1.0)
@@ -30,9 +30,9 @@
 
 class TestOtherZones:
     def test_first_request_to_a_zone_reads_it(self):
-        """A host looked at another zone while that was starting, and nothing has gone
-        there since. By the old view the zone has no hosts, and programs that are at
-        home there would be served here, without their engines' caches.
+        """A host read another zone while that was starting and has sent no requests
+        there since. In the old view the zone has no hosts, so the programs assigned to
+        that zone would be served in this one, without their engines' caches.
         """
         reader = Reader()
         zones = OtherZones(reader)
@@ -48,7 +48,7 @@
         assert reader.n_reads == 1
 
     def test_known_hosts_stay_known_during_an_outage(self):
-        """The platform is away when the first request goes to the other zone."""
+        """The platform is unavailable at the first request to the other zone."""
         reader = Reader()
         reader.view = STARTED
         zones = OtherZones(reader)
@@ -57,7 +57,7 @@
         assert zones.view("b").hosts == STARTED.hosts
 
     def test_view_is_reread_when_a_slot_seems_free(self):
-        """A request came while the zone was starting; the next one must find it."""
+        """The zone is starting at the first request; the next must see its hosts."""
         reader = Reader()
         zones = OtherZones(reader)
         zones.view("b")
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_service.py
@@ -1,4 +1,4 @@
-"""What a host's lease row says of what the host knew."""
+"""Tests of the head version that the membership service writes to the lease row."""
 
 from types import SimpleNamespace
 
@@ -9,7 +9,7 @@
 
 
 class Keeper:
-    """Notes the head version that each renewal writes."""
+    """Lease keeper that records the head version passed to each renewal."""
 
     def __init__(self):
         self.row = HostRow("h1", "z", "i", "", "")
@@ -30,9 +30,10 @@
 
 class TestMembershipService:
     def test_lease_row_keeps_known_head_after_view_is_invalidated(self):
-        """A call misses its holder, so the zone is to be read again, and the host dies
-        just then. Its row would say that it knew nobody; the others would wait an
-        hour before they take its slots, and its programs would stand still.
+        """A call doesn't find a slot's holder and invalidates the view, and the host
+        dies before the zone is read again. If its lease row then held the reset head
+        version, the other hosts would wait an hour before they take its slots, and its
+        programs would not proceed.
         """
         membership = service()
         membership._read_zone()
