--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -269,7 +269,7 @@
         ]
 
     def _note_zones(self) -> None:
-        self.config.listen(
+        self.config.add_listener(
             lambda _changes: self.membership.add_known_zones(
                 target.zone for target in self.config.targets()
             )
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/__init__.py
@@ -1,6 +1,11 @@
 """The configuration: what is in force here, and edits of it."""
 
-from swifttide_daemon.configuration._edit import Accepted, EditOutcome, Raced, Unknown
+from swifttide_daemon.configuration._edit import (
+    Accepted,
+    EditOutcome,
+    OutdatedVersion,
+    UnknownOutcome,
+)
 from swifttide_daemon.configuration._editor import ConfigEditor
 from swifttide_daemon.configuration._service import ConfigService
 
@@ -9,6 +14,6 @@
     "ConfigEditor",
     "ConfigService",
     "EditOutcome",
-    "Raced",
-    "Unknown",
+    "OutdatedVersion",
+    "UnknownOutcome",
 ]
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/_edit.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/_edit.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Raced:
+class OutdatedVersion:
     """Another edit came first; what stands now is shown to the loser."""
 
     current_version: int
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unknown:
+class UnknownOutcome:
     """The platform didn't answer.
 
     Parameters
@@ -32,4 +32,4 @@
     may_have_committed: bool
 
 
-EditOutcome = Accepted | Raced | Unknown
+EditOutcome = Accepted | OutdatedVersion | UnknownOutcome
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/_editor.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/_editor.py
@@ -9,14 +9,14 @@
 from swifttide_daemon.configuration._edit import (
     Accepted,
     EditOutcome,
-    Raced,
-    Unknown,
+    OutdatedVersion,
+    UnknownOutcome,
 )
 from swifttide_daemon.configuration._rows import (
-    CONFIG,
-    DOCS,
-    HEAD,
-    LOG,
+    CONFIG_TABLE,
+    DOCUMENTS_TABLE,
+    HEAD_KEY,
+    LOG_TABLE,
     change_of,
     change_value,
     doc_key,
@@ -33,7 +33,7 @@
     Write,
 )
 
-MAX_HEAD_RACES = 50
+MAX_COMMIT_ATTEMPTS = 50
 """Edits of OTHER documents that may come between before an edit is given up."""
 
 
@@ -75,34 +75,36 @@
         EditOutcome
             Accepted, lost a race, or unknown.
         """
-        for _ in range(MAX_HEAD_RACES):
+        for _ in range(MAX_COMMIT_ATTEMPTS):
             seen = self._read(kind, name)
             if seen.is_error():
-                return Unknown(may_have_committed=False)
+                return UnknownOutcome(may_have_committed=False)
             head, doc = seen.ok
             current = change_of(doc) if doc else None
             current_version = current.version if current else 0
             if base_version is not None and base_version != current_version:
-                return Raced(current_version, current.document if current else None)
+                return OutdatedVersion(
+                    current_version, current.document if current else None
+                )
             version = (head.value["version"] if head else 0) + 1
             change = Change(version, kind, name, document, operator)
             outcome = self.platform.commit(_transaction(change, head, doc))
             if outcome.is_error():
-                return Unknown(outcome.error.may_have_committed)
+                return UnknownOutcome(outcome.error.may_have_committed)
             match outcome.ok:
                 case Committed():
                     return Accepted(version)
                 case Conflict():
                     continue
-        return Unknown(may_have_committed=False)
+        return UnknownOutcome(may_have_committed=False)
 
     def _read(
         self, kind: DocumentKind, name: str
     ) -> Result[tuple[Row | None, Row | None], PlatformError]:
-        head = self.platform.read(CONFIG, HEAD)
+        head = self.platform.read(CONFIG_TABLE, HEAD_KEY)
         if head.is_error():
             return head
-        doc = self.platform.read(DOCS, doc_key(kind, name))
+        doc = self.platform.read(DOCUMENTS_TABLE, doc_key(kind, name))
         if doc.is_error():
             return Error(doc.error)
         return Ok((head.ok, doc.ok))
@@ -113,12 +115,12 @@
     value = change_value(change)
     return Transaction(
         checks=(
-            Check(CONFIG, HEAD, head.version if head else 0),
-            Check(DOCS, key, doc.version if doc else 0),
+            Check(CONFIG_TABLE, HEAD_KEY, head.version if head else 0),
+            Check(DOCUMENTS_TABLE, key, doc.version if doc else 0),
         ),
         writes=(
-            Write(CONFIG, HEAD, {"version": change.version}),
-            Write(DOCS, key, value),
-            Write(LOG, log_key(change.version), value),
+            Write(CONFIG_TABLE, HEAD_KEY, {"version": change.version}),
+            Write(DOCUMENTS_TABLE, key, value),
+            Write(LOG_TABLE, log_key(change.version), value),
         ),
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/_rows.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/_rows.py
@@ -8,10 +8,10 @@
 from swifttide_core.documents import DocumentKind
 from swifttide_daemon.store import Row
 
-CONFIG = "config"
-DOCS = "config_docs"
-LOG = "config_log"
-HEAD = "head"
+CONFIG_TABLE = "config"
+DOCUMENTS_TABLE = "config_docs"
+LOG_TABLE = "config_log"
+HEAD_KEY = "head"
 
 
 def doc_key(kind: DocumentKind, name: str) -> str:
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/_service.py
@@ -16,10 +16,10 @@
     Target,
 )
 from swifttide_daemon.configuration._rows import (
-    CONFIG,
-    DOCS,
-    HEAD,
-    LOG,
+    CONFIG_TABLE,
+    DOCUMENTS_TABLE,
+    HEAD_KEY,
+    LOG_TABLE,
     change_of,
     log_key,
 )
@@ -28,7 +28,7 @@
 
 log = logging.getLogger(__name__)
 
-LOG_PAGE = 500
+LOG_PAGE_ROWS = 500
 
 
 class ConfigService:
@@ -80,7 +80,7 @@
         """Stop polling."""
         self._stop.set()
 
-    def listen(self, listener: Callable[[list[Change]], None]) -> None:
+    def add_listener(self, listener: Callable[[list[Change]], None]) -> None:
         """Call `listener` with each batch of changes."""
         self._listeners.append(listener)
 
@@ -111,12 +111,12 @@
         with self._lock:
             return self.state.latest_changes_after(version)
 
-    def learn_from_peer(self, version: int, changes: list[Change]) -> None:
+    def apply_peer_changes(self, version: int, changes: list[Change]) -> None:
         """Take in what a peer of a later version has."""
         with self._lock:
             news = [c for c in changes if c.version > self.state.version]
             self.state.load(version, changes)
-        self._tell(news)
+        self._notify_listeners(news)
 
     def confirm_fresh(self, version: int, at: float) -> None:
         """Note that `version` was the newest of all at monotonic time `at`."""
@@ -135,16 +135,16 @@
         """
         return self.fresh_age() > self.max_stale_seconds
 
-    def learn(self, changes: Iterable[Change]) -> None:
+    def apply_changes(self, changes: Iterable[Change]) -> None:
         """Take in entries of the platform's log."""
         with self._lock:
             news = self.state.apply(changes)
-        self._tell(news)
+        self._notify_listeners(news)
 
     def refresh(self) -> bool:
         """Look at the platform once; return whether this host is up to date."""
         asked_at = time.monotonic()
-        head = self.platform.read(CONFIG, HEAD)
+        head = self.platform.read(CONFIG_TABLE, HEAD_KEY)
         if head.is_error():
             return False
         version = head.ok.value["version"] if head.ok else 0
@@ -162,25 +162,27 @@
             return self._load(version)
         while self.state.version < version:
             before = self.state.version
-            rows = self.platform.scan(LOG, after=log_key(before), limit=LOG_PAGE)
+            rows = self.platform.scan(
+                LOG_TABLE, after=log_key(before), limit=LOG_PAGE_ROWS
+            )
             if rows.is_error():
                 return False
-            self.learn([change_of(row) for row in rows.ok])
+            self.apply_changes([change_of(row) for row in rows.ok])
             if self.state.version == before:
                 return False
         return True
 
     def _load(self, version: int) -> bool:
-        rows = self.platform.scan(DOCS)
+        rows = self.platform.scan(DOCUMENTS_TABLE)
         if rows.is_error():
             return False
         changes = [change_of(row) for row in rows.ok]
         with self._lock:
             self.state.load(version, changes)
-        self._tell(changes)
+        self._notify_listeners(changes)
         return True
 
-    def _tell(self, news: list[Change]) -> None:
+    def _notify_listeners(self, news: list[Change]) -> None:
         if not news:
             return
         for listener in self._listeners:
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/tests/test_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/tests/test_service.py
@@ -29,12 +29,12 @@
 def service(head):
     platform = SimpleNamespace(read=lambda table, key: head)
     found = ConfigService(platform, 1.0, MAX_STALE_SECONDS)
-    found.learn([key_change(1, False)])
+    found.apply_changes([key_change(1, False)])
     return found
 
 
 class TestFreshness:
-    def test_cut_off_host_stops_believing(self, clock):
+    def test_host_without_platform_and_peers_becomes_stale(self, clock):
         """The platform vanishes and no peer knows better."""
         config = service(Ok(Row("head", 1, {"version": 1})))
         assert config.refresh()
@@ -45,21 +45,21 @@
         clock.tick(2)
         assert config.is_stale()
 
-    def test_peer_that_sees_the_platform_keeps_it_fresh(self, clock):
+    def test_peer_that_reaches_the_platform_confirms_freshness(self, clock):
         """Only this zone lost the platform; another zone's host still reaches it."""
         config = service(Error(PlatformError("x")))
-        config.learn_from_peer(2, [key_change(2, True)])
+        config.apply_peer_changes(2, [key_change(2, True)])
         config.confirm_fresh(2, at=0.0)
         assert config.key(KEY) is None
         assert config.fresh_at == 0.0
 
-    def test_peer_with_more_edits_confirms_nothing(self):
+    def test_peer_with_newer_version_does_not_confirm_freshness(self):
         """A peer has an edit that this host couldn't pull."""
         config = service(Error(PlatformError("x")))
         config.confirm_fresh(2, at=0.0)
         assert config.is_stale()
 
-    def test_older_answer_of_the_store(self):
+    def test_older_version_from_the_store_does_not_confirm_freshness(self):
         """The store answers from an older state; that says nothing of newer edits."""
         config = service(Ok(Row("head", 0, {"version": 0})))
         assert not config.refresh()
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_service.py
@@ -65,7 +65,7 @@
         self._held: dict[str, HeldShare] = {}
         self._handed: dict[str, tuple[HandoverRequest, float]] = {}
         self._lock = threading.Lock()
-        config.listen(self._on_changes)
+        config.add_listener(self._on_changes)
         membership.on_moved(self._hand_over)
 
     @property
--- a/packages/swifttide_daemon/src/swifttide_daemon/operators/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/operators/_handlers.py
@@ -11,8 +11,8 @@
     Accepted,
     ConfigEditor,
     ConfigService,
-    Raced,
-    Unknown,
+    OutdatedVersion,
+    UnknownOutcome,
 )
 from swifttide_daemon.entry import Authenticator, Identity, ProgramHandlers
 from swifttide_daemon.programs import platform_refusal
@@ -108,7 +108,7 @@
             case Accepted(version):
                 self.config.refresh()
                 return Response.from_json({"version": version})
-            case Raced(current_version, current_document):
+            case OutdatedVersion(current_version, current_document):
                 return Response.from_refusal(
                     Refusal(
                         Reason.CONFLICT,
@@ -118,7 +118,7 @@
                     current_version=current_version,
                     current_document=current_document,
                 )
-            case Unknown(may_have_committed):
+            case UnknownOutcome(may_have_committed):
                 verdict = (
                     Verdict.MAY_HAVE_RUN if may_have_committed else Verdict.NOT_RUN
                 )
--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_heartbeat.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_heartbeat.py
@@ -94,4 +94,4 @@
         answer = self.peers.call(row.peer_url, "GET", path)
         if answer.is_ok():
             changes = msgspec.convert(answer.ok["changes"], list[Change])
-            self.config.learn_from_peer(answer.ok["version"], changes)
+            self.config.apply_peer_changes(answer.ok["version"], changes)
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_queue_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_queue_service.py
@@ -48,7 +48,7 @@
         self._lock = threading.Lock()
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
-        config.listen(self._on_changes)
+        config.add_listener(self._on_changes)
 
     def start(self) -> None:
         """Let the queues' time pass from now on."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_target_board.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_target_board.py
@@ -59,7 +59,7 @@
         self._changed_at_once = True
         self._built_at = 0.0
         self._lock = threading.Lock()
-        config.listen(lambda _changes: self._forget_views())
+        config.add_listener(lambda _changes: self._forget_views())
 
     @classmethod
     def from_config(cls, config: ConfigService) -> "TargetBoard":
