--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/_edit.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/_edit.py
@@ -1,4 +1,4 @@
-"""Outcomes of an operator's edit."""
+"""Outcomes of an operator's edit of a configuration document."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,14 +6,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The edit is in the platform's table under this version."""
+    """The edit is committed to the platform's store.
+
+    Parameters
+    ----------
+    version : int
+        Version of the configuration that the edit made.
+    """
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class OutdatedVersion:
-    """Another edit came first; what stands now is shown to the loser."""
+    """The edit was rejected because the document has changed since it was read.
+
+    Parameters
+    ----------
+    current_version : int
+        Version of the document's last edit; 0 if it has never been edited.
+    current_document : dict or None
+        Current content, shown to the operator; None if there is no document.
+    """
 
     current_version: int
     current_document: dict[str, Any] | None
@@ -21,12 +35,13 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownOutcome:
-    """The platform didn't answer.
+    """It isn't known whether the edit was committed, or the edit was given up.
 
     Parameters
     ----------
     may_have_committed : bool
-        Whether the edit may be in force; the history tells once the platform is back.
+        Whether the edit may have been committed. The history of edits shows it once
+        the platform is available again.
     """
 
     may_have_committed: bool
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/_editor.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/_editor.py
@@ -1,4 +1,9 @@
-"""Edits of the configuration, conditional on what they edit."""
+"""Writes operators' edits of the configuration to the platform.
+
+An edit is one transaction. It is conditional on the versions of the configuration's
+head row and of the edited document, so that concurrent edits can't overwrite each
+other.
+"""
 
 from typing import Any
 
@@ -34,11 +39,15 @@
 )
 
 MAX_COMMIT_ATTEMPTS = 50
-"""Edits of OTHER documents that may come between before an edit is given up."""
+"""Attempts to commit an edit before it is given up.
+
+An attempt fails if an edit of another document is committed in the meantime, because
+all edits write the head row.
+"""
 
 
 class ConfigEditor:
-    """Writes edits to the platform.
+    """Writes edits of documents to the platform.
 
     Parameters
     ----------
@@ -56,24 +65,25 @@
         base_version: int | None,
         operator: str,
     ) -> EditOutcome:
-        """Write one edit.
+        """Commit one edit, repeated while edits of other documents interfere.
 
         Parameters
         ----------
         kind, name : DocumentKind, str
-            Document to edit.
+            Kind and name of the document to edit.
         document : dict or None
-            New content, already checked; None removes it.
+            New content, already validated; None removes the document.
         base_version : int or None
-            Version that the operator saw, 0 for "none yet"; None edits whatever
-            stands there.
+            Version of the document that the operator has read, 0 if there was none.
+            None edits the document regardless of its version.
         operator : str
-            For the history.
+            Name of the operator, recorded in the history of edits.
 
         Returns
         -------
         EditOutcome
-            Accepted, lost a race, or unknown.
+            Whether the edit was committed, rejected as outdated, or has an unknown
+            outcome.
         """
         for _ in range(MAX_COMMIT_ATTEMPTS):
             seen = self._read(kind, name)
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/_rows.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/_rows.py
@@ -1,4 +1,4 @@
-"""Configuration rows between the platform's form and the core's."""
+"""Conversion of configuration rows between stored rows and core types."""
 
 from typing import Any
 
@@ -20,15 +20,15 @@
 
 
 def log_key(version: int) -> str:
-    """Return the key of a log entry; keys sort by version."""
+    """Return the key of a log entry, padded so that keys sort by version."""
     return f"{version:012d}"
 
 
 def change_value(change: Change) -> dict[str, Any]:
-    """Encode a change."""
+    """Encode a change as the value of a row."""
     return msgspec.to_builtins(change)
 
 
 def change_of(row: Row) -> Change:
-    """Decode a row of the log or of the documents; both hold a whole change."""
+    """Decode a row of the log table or the documents table; both hold changes."""
     return msgspec.convert(row.value, Change)
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/_service.py
@@ -1,4 +1,10 @@
-"""The configuration in force at this host, kept current on one thread."""
+"""Keeps the configuration in force on this host current.
+
+One thread polls the configuration's head row on the platform and applies new entries
+of the log of edits. While the platform is unreachable, the host receives changes from
+peers. A host that can't confirm for too long that it has missed no edit considers its
+configuration stale.
+"""
 
 import logging
 import threading
@@ -32,20 +38,22 @@
 
 
 class ConfigService:
-    """Polls the head row, takes in the log, and learns from peers.
+    """Holds the current configuration, updated from the platform and from peers.
 
     Parameters
     ----------
     platform : PlatformClient
     poll_seconds : float
-        Pause between looks at the head row.
+        Pause between two reads of the head row.
     max_stale_seconds : float
-        How long keys are believed without knowing that no edit was missed.
+        Time after the last confirmation that no edit was missed, from which the
+        configuration is stale and API keys are no longer accepted.
 
     Attributes
     ----------
     fresh_at : float
-        Monotonic seconds at which this host last knew that it missed nothing.
+        Time, in monotonic seconds, at which this host is last known to have had the
+        newest version.
     """
 
     def __init__(
@@ -68,12 +76,12 @@
     def from_settings(
         cls, settings: Settings, platform: PlatformClient
     ) -> "ConfigService":
-        """Return a service that isn't started yet."""
+        """Return a service that hasn't been started."""
         cfg = settings.config
         return cls(platform, cfg.poll_seconds, cfg.max_stale_seconds)
 
     def start(self) -> None:
-        """Keep the configuration current from now on."""
+        """Start the polling thread."""
         self._thread.start()
 
     def stop(self) -> None:
@@ -81,68 +89,71 @@
         self._stop.set()
 
     def add_listener(self, listener: Callable[[list[Change]], None]) -> None:
-        """Call `listener` with each batch of changes."""
+        """Register a callback that is called with each list of applied changes."""
         self._listeners.append(listener)
 
     @property
     def version(self) -> int:
-        """Version in force here."""
+        """Version of the configuration in force on this host."""
         return self.state.version
 
     def profile(self, name: str) -> Profile | None:
-        """Return a profile by name."""
+        """Return a profile by name, or None if there is none."""
         return self.state.get(DocumentKind.PROFILE, name)
 
     def customer(self, name: str) -> Customer | None:
-        """Return a customer by name."""
+        """Return a customer by name, or None if there is none."""
         return self.state.get(DocumentKind.CUSTOMER, name)
 
     def key(self, key_hash: str) -> KeyGrant | None:
-        """Return a key's grant, unless it was withdrawn."""
+        """Return the grant of an API key, or None if it is unknown or withdrawn."""
         grant = self.state.get(DocumentKind.KEY, key_hash)
         return None if grant is None or grant.withdrawn else grant
 
     def targets(self) -> list[Target]:
-        """Return all targets, leaving ones included."""
+        """Return all targets, including those that are being removed."""
         return self.state.all(DocumentKind.TARGET)
 
     def changes_after(self, version: int) -> list[Change]:
-        """Return what a host of an older version misses."""
+        """Return the changes that a host with an older version lacks."""
         with self._lock:
             return self.state.latest_changes_after(version)
 
     def apply_peer_changes(self, version: int, changes: list[Change]) -> None:
-        """Take in what a peer of a later version has."""
+        """Apply the changes received from a peer that has a newer version."""
         with self._lock:
-            news = [c for c in changes if c.version > self.state.version]
+            new_changes = [c for c in changes if c.version > self.state.version]
             self.state.load(version, changes)
-        self._notify_listeners(news)
+        self._notify_listeners(new_changes)
 
     def confirm_fresh(self, version: int, at: float) -> None:
-        """Note that `version` was the newest of all at monotonic time `at`."""
+        """Record that `version` was the newest version at monotonic time `at`.
+
+        Ignored if `version` is newer than the version of this host.
+        """
         if version <= self.state.version:
             self.fresh_at = max(self.fresh_at, at)
 
     def fresh_age(self) -> float:
-        """Return the seconds since this host knew that it missed no edit."""
+        """Return the seconds since this host last knew that it had missed no edit."""
         return time.monotonic() - self.fresh_at
 
     def is_stale(self) -> bool:
-        """Return whether edits may have been missed for longer than is allowed.
+        """Return whether edits may have been missed for more than the allowed time.
 
-        A zone that is cut off serves on with the keys that it knows; a key that was
-        withdrawn elsewhere must not work there for good.
+        An isolated zone continues to serve requests with the API keys that it knows. A
+        key that was withdrawn elsewhere must not remain valid there indefinitely.
         """
         return self.fresh_age() > self.max_stale_seconds
 
     def apply_changes(self, changes: Iterable[Change]) -> None:
-        """Take in entries of the platform's log."""
+        """Apply entries of the platform's log of edits."""
         with self._lock:
-            news = self.state.apply(changes)
-        self._notify_listeners(news)
+            new_changes = self.state.apply(changes)
+        self._notify_listeners(new_changes)
 
     def refresh(self) -> bool:
-        """Look at the platform once; return whether this host is up to date."""
+        """Poll the platform once; return whether this host has the newest version."""
         asked_at = time.monotonic()
         head = self.platform.read(CONFIG_TABLE, HEAD_KEY)
         if head.is_error():
@@ -151,8 +162,8 @@
         if version > self.state.version and not self._catch_up(version):
             return False
         if version < self.state.version:
-            # The store answers from an older state; what is in force here stays.
-            log.warning("the platform answered with an older configuration")
+            # The store returned an older state; this host keeps its newer version.
+            log.warning("the platform returned an older configuration version")
             return False
         self.confirm_fresh(version, asked_at)
         return True
@@ -182,18 +193,18 @@
         self._notify_listeners(changes)
         return True
 
-    def _notify_listeners(self, news: list[Change]) -> None:
-        if not news:
+    def _notify_listeners(self, new_changes: list[Change]) -> None:
+        if not new_changes:
             return
         for listener in self._listeners:
-            listener(news)
+            listener(new_changes)
 
     def _run(self) -> None:
         while not self._stop.is_set():
             try:
                 self.refresh()
             except (msgspec.MsgspecError, KeyError):
-                # A row that can't be decoded must not stop the polling: the next
-                # edit may repair it.
-                log.exception("a configuration row can't be read")
+                # A row that can't be decoded must not stop the polling, because the
+                # next edit may correct it.
+                log.exception("a configuration row can't be decoded")
             self._stop.wait(self.poll_seconds)
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/tests/test_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/tests/test_service.py
@@ -1,4 +1,4 @@
-"""What a host believes of its configuration while the platform is away."""
+"""Tests of the configuration's freshness while the platform is unavailable."""
 
 from types import SimpleNamespace
 
@@ -35,7 +35,7 @@
 
 class TestFreshness:
     def test_host_without_platform_and_peers_becomes_stale(self, clock):
-        """The platform vanishes and no peer knows better."""
+        """The platform becomes unavailable and no peer has newer knowledge."""
         config = service(Ok(Row("head", 1, {"version": 1})))
         assert config.refresh()
         config.platform = SimpleNamespace(read=lambda *_: Error(PlatformError("x")))
@@ -46,7 +46,7 @@
         assert config.is_stale()
 
     def test_peer_that_reaches_the_platform_confirms_freshness(self, clock):
-        """Only this zone lost the platform; another zone's host still reaches it."""
+        """Only this zone can't reach the platform; a host of another zone still can."""
         config = service(Error(PlatformError("x")))
         config.apply_peer_changes(2, [key_change(2, True)])
         config.confirm_fresh(2, at=0.0)
@@ -54,13 +54,13 @@
         assert config.fresh_at == 0.0
 
     def test_peer_with_newer_version_does_not_confirm_freshness(self):
-        """A peer has an edit that this host couldn't pull."""
+        """A peer has an edit that this host has not received."""
         config = service(Error(PlatformError("x")))
         config.confirm_fresh(2, at=0.0)
         assert config.is_stale()
 
     def test_older_version_from_the_store_does_not_confirm_freshness(self):
-        """The store answers from an older state; that says nothing of newer edits."""
+        """The store returns an older state, which doesn't exclude newer edits."""
         config = service(Ok(Row("head", 0, {"version": 0})))
         assert not config.refresh()
         assert config.is_stale()
