--- a/packages/swifttide_daemon/src/swifttide_daemon/programs/_program_store.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/programs/_program_store.py
@@ -73,7 +73,7 @@
         writes = tuple(
             Write(PROGRAMS_TABLE, row.key, program_value(row)) for row in rows
         )
-        return self.platform.commit_soon(Transaction(checks, writes, transaction))
+        return self.platform.commit_grouped(Transaction(checks, writes, transaction))
 
     def chunk(self, name: str) -> Result[Chunk, Refusal]:
         """Read a stored turn by the name of its object."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
@@ -166,7 +166,7 @@
             (Write(INTENTS, row.key, value),),
             action.transaction,
         )
-        outcome = self.platform.commit_soon(tx)
+        outcome = self.platform.commit_grouped(tx)
         if outcome.is_error():
             return PlatformFailed()
         if isinstance(outcome.ok, Committed):
--- a/packages/swifttide_daemon/src/swifttide_daemon/store/_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/store/_client.py
@@ -21,11 +21,11 @@
 from swifttide_daemon.telemetry import Telemetry
 from swifttide_daemon.transport import make_pool, verdict_of
 
-COMMIT_TRIES = 3
+MAX_COMMIT_ATTEMPTS = 3
 """A lost answer is settled by sending the same transaction id again."""
 
 RETRY_PAUSE_SECONDS = 0.05
-OUTAGE_SECONDS = 2.0
+OUTAGE_DETECTION_SECONDS = 2.0
 
 
 class PlatformClient:
@@ -60,7 +60,7 @@
         self.timeout = timeout
         self._answered_at = time.monotonic()
         self._failing = False
-        self._groups = GroupCommit(self.commit)
+        self._group_commit = GroupCommit(self.commit)
 
     @classmethod
     def from_settings(
@@ -86,7 +86,7 @@
         while are requests refused before they are sent.
         """
         silent = time.monotonic() - self._answered_at
-        return not self._failing or silent < OUTAGE_SECONDS
+        return not self._failing or silent < OUTAGE_DETECTION_SECONDS
 
     @property
     def failing(self) -> bool:
@@ -135,7 +135,7 @@
         return Ok(found["rows"])
 
     def commit(
-        self, tx: Transaction, tries: int = COMMIT_TRIES
+        self, tx: Transaction, tries: int = MAX_COMMIT_ATTEMPTS
     ) -> Result[Committed | Conflict, PlatformError]:
         """Run a transaction; its id settles answers that get lost."""
         body = msgspec.json.encode(tx)
@@ -148,19 +148,19 @@
             if answer.is_ok():
                 status, payload = answer.ok
                 if status in (200, 409):
-                    return Ok(_outcome(payload))
+                    return Ok(_decode_outcome(payload))
                 error = PlatformError(f"transaction: status {status}")
                 # A 4xx says that the platform took in nothing.
                 unknown = unknown or status >= 500
                 continue
             error = answer.error
             unknown = unknown or error.may_have_committed
-        settled = self._read_back(tx) if unknown else None
+        settled = self._read_outcome(tx) if unknown else None
         if settled is not None:
             return Ok(settled)
         return Error(PlatformError(error.detail, may_have_committed=unknown))
 
-    def _read_back(self, tx: Transaction) -> Committed | None:
+    def _read_outcome(self, tx: Transaction) -> Committed | None:
         """Return what became of a transaction whose answers were all lost.
 
         Writes can be answered by nobody while reads still are. Without this a host
@@ -172,11 +172,11 @@
         found = msgspec.json.decode(answer.ok[1])
         return Committed(tuple(found["versions"])) if found["committed"] else None
 
-    def commit_soon(
+    def commit_grouped(
         self, tx: Transaction
     ) -> Result[Committed | Conflict, PlatformError]:
         """Run a transaction, under load together with others of this host."""
-        return self._groups.submit(tx)
+        return self._group_commit.submit(tx)
 
     def put_object(self, name: str, data: bytes) -> Result[None, PlatformError]:
         """Store an object; storing the same bytes again is no error."""
@@ -239,7 +239,7 @@
     return f"{resource}.{method.lower()}"
 
 
-def _outcome(payload: bytes) -> Committed | Conflict:
+def _decode_outcome(payload: bytes) -> Committed | Conflict:
     answer: dict[str, Any] = msgspec.json.decode(payload)
     if answer["committed"]:
         return Committed(tuple(answer["versions"]))
--- a/packages/swifttide_daemon/src/swifttide_daemon/store/_group_commit.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/store/_group_commit.py
@@ -29,11 +29,11 @@
     Transaction,
 )
 
-INTERVAL_SECONDS = 0.02
-BURST = 10
+GROUP_INTERVAL_SECONDS = 0.02
+BURST_GROUPS = 10
 """Intervals that a quiet spell saves up for transactions that come close together."""
 
-MAX_GROUP = 50
+MAX_GROUP_TRANSACTIONS = 50
 """Transactions in a group: a conflict costs as many exchanges."""
 
 Outcome = Result[Committed | Conflict, PlatformError]
@@ -43,21 +43,21 @@
 class _Group:
     """Transactions that go out together, led by the thread that opened it."""
 
-    due: float
+    send_at: float
     transactions: list[Transaction] = field(default_factory=list)
-    places: set[tuple[str, str]] = field(default_factory=set)
+    row_keys: set[tuple[str, str]] = field(default_factory=set)
     outcomes: list[Outcome] = field(default_factory=list)
     done: threading.Event = field(default_factory=threading.Event)
 
-    def takes(self, tx: Transaction) -> bool:
+    def accepts(self, tx: Transaction) -> bool:
         """Return whether a transaction may join: rows of two must not overlap."""
-        fits = len(self.transactions) < MAX_GROUP
-        return fits and self.places.isdisjoint(_places(tx))
+        fits = len(self.transactions) < MAX_GROUP_TRANSACTIONS
+        return fits and self.row_keys.isdisjoint(_row_keys(tx))
 
     def add(self, tx: Transaction) -> int:
         """Add a transaction and return its number."""
         self.transactions.append(tx)
-        self.places.update(_places(tx))
+        self.row_keys.update(_row_keys(tx))
         return len(self.transactions) - 1
 
 
@@ -77,49 +77,49 @@
     def __init__(
         self,
         commit: Callable[[Transaction], Outcome],
-        interval_seconds: float = INTERVAL_SECONDS,
-        burst: int = BURST,
+        interval_seconds: float = GROUP_INTERVAL_SECONDS,
+        burst: int = BURST_GROUPS,
     ) -> None:
         self.burst = burst
         self.commit = commit
         self.interval_seconds = interval_seconds
-        self._open: _Group | None = None
-        self._paid_until = float("-inf")
+        self._open_group: _Group | None = None
+        self._scheduled_until = float("-inf")
         self._lock = threading.Lock()
 
     def submit(self, tx: Transaction) -> Outcome:
         """Send a transaction, alone or in a group, and return its own outcome."""
         with self._lock:
-            group = self._open
-            leads = group is None or not group.takes(tx)
+            group = self._open_group
+            leads = group is None or not group.accepts(tx)
             if leads:
-                group = self._open = _Group(self._next_due())
+                group = self._open_group = _Group(self._reserve_send_time())
             number = group.add(tx)
         if leads:
-            self._lead(group)
+            self._run_group(group)
         else:
             group.done.wait()
         return group.outcomes[number]
 
-    def _next_due(self) -> float:
+    def _reserve_send_time(self) -> float:
         """Return when the next group may go out, and count it."""
         now = time.monotonic()
         saved = (self.burst - 1) * self.interval_seconds
-        due = max(now, self._paid_until - saved)
-        self._paid_until = max(self._paid_until, now) + self.interval_seconds
+        due = max(now, self._scheduled_until - saved)
+        self._scheduled_until = max(self._scheduled_until, now) + self.interval_seconds
         return due
 
-    def _lead(self, group: _Group) -> None:
-        time.sleep(max(0.0, group.due - time.monotonic()))
+    def _run_group(self, group: _Group) -> None:
+        time.sleep(max(0.0, group.send_at - time.monotonic()))
         with self._lock:
-            if self._open is group:
-                self._open = None
+            if self._open_group is group:
+                self._open_group = None
         try:
-            group.outcomes = self._send(group.transactions)
+            group.outcomes = self._commit_group(group.transactions)
         finally:
             group.done.set()
 
-    def _send(self, transactions: list[Transaction]) -> list[Outcome]:
+    def _commit_group(self, transactions: list[Transaction]) -> list[Outcome]:
         if len(transactions) == 1:
             return [self.commit(transactions[0])]
         merged = Transaction(
@@ -131,12 +131,12 @@
             return [outcome for _ in transactions]
         match outcome.ok:
             case Committed(versions):
-                return _shared_out(transactions, versions)
+                return _split_versions(transactions, versions)
             case Conflict():
                 return [self.commit(tx) for tx in transactions]
 
 
-def _shared_out(
+def _split_versions(
     transactions: list[Transaction], versions: tuple[int, ...]
 ) -> list[Outcome]:
     """Return each transaction's part of the versions that were written."""
@@ -149,6 +149,6 @@
     return outcomes
 
 
-def _places(tx: Transaction) -> set[tuple[str, str]]:
+def _row_keys(tx: Transaction) -> set[tuple[str, str]]:
     checked = {(check.table, check.key) for check in tx.checks}
     return checked | {(write.table, write.key) for write in tx.writes}
--- a/packages/swifttide_daemon/src/swifttide_daemon/store/tests/test_group_commit.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/store/tests/test_group_commit.py
@@ -27,13 +27,13 @@
     def __init__(self):
         self.versions = {}
         self.sent = []
-        self.go_on = threading.Event()
+        self.proceed = threading.Event()
         self.fails = False
 
     def commit(self, sent):
         self.sent.append(sent)
         if len(self.sent) == 1:
-            self.go_on.wait(10)
+            self.proceed.wait(10)
         if self.fails:
             return Error(PlatformError("timeout", may_have_committed=True))
         for check in sent.checks:
@@ -47,29 +47,29 @@
 def submit_together(platform, transactions):
     """Submit transactions while an interval that has begun keeps them waiting."""
     group = GroupCommit(platform.commit, interval_seconds=0.3, burst=1)
-    platform.go_on.set()
+    platform.proceed.set()
     group.submit(tx("first"))
     with ThreadPoolExecutor(len(transactions)) as pool:
         return list(pool.map(group.submit, transactions))
 
 
 class TestGroupCommit:
-    def test_goes_out_alone_at_once(self):
+    def test_single_transaction_is_sent_immediately(self):
         platform = Platform()
-        platform.go_on.set()
+        platform.proceed.set()
         assert GroupCommit(platform.commit).submit(tx("a")).ok == Committed((1,))
 
-    def test_few_in_a_row_do_not_wait(self):
+    def test_burst_is_sent_without_delay(self):
         """A call's intent and outcome are milliseconds apart. Paced like a load, each
         call of a quiet host would wait for nothing.
         """
         platform = Platform()
-        platform.go_on.set()
+        platform.proceed.set()
         group = GroupCommit(platform.commit, interval_seconds=3600.0, burst=3)
         for key in "abc":
             assert group.submit(tx(key)).ok == Committed((1,))
 
-    def test_those_that_wait_go_out_as_one(self):
+    def test_waiting_transactions_are_merged(self):
         """Many turns end at once. Sent one by one they would use up the platform's
         writes, and turns at all hosts would wait.
         """
@@ -83,7 +83,7 @@
             Committed((1,)),
         ]
 
-    def test_conflict_of_one_fails_no_other(self):
+    def test_conflict_does_not_fail_other_transactions(self):
         """Another host has taken one of the programs over."""
         platform = Platform()
         platform.versions["b"] = 6
@@ -91,7 +91,7 @@
         assert isinstance(outcomes[1].ok, Conflict)
         assert outcomes[0].ok == outcomes[2].ok == Committed((1,))
 
-    def test_same_row_twice_is_not_merged(self):
+    def test_transactions_on_the_same_row_are_not_merged(self):
         """Two sub-agents settle on one root: the second must see the first's version,
         or both would count as written though one overwrote the other.
         """
@@ -100,9 +100,9 @@
         kinds = sorted(type(o.ok).__name__ for o in outcomes)
         assert kinds == ["Committed", "Conflict"]
 
-    def test_lost_answer_is_unknown_for_all(self):
+    def test_lost_response_leaves_the_outcome_unknown(self):
         platform = Platform()
         group = GroupCommit(platform.commit)
-        platform.go_on.set()
+        platform.proceed.set()
         platform.fails = True
         assert group.submit(tx("a")).error.may_have_committed
