--- a/packages/swifttide_daemon/src/swifttide_daemon/store/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/store/__init__.py
@@ -1,4 +1,7 @@
-"""The platform: what must last or be agreed goes through here."""
+"""Client of the platform's store: versioned rows, transactions and objects.
+
+State that must be durable, or on which several hosts must agree, is kept there.
+"""
 
 from swifttide_daemon.store._client import PlatformClient
 from swifttide_daemon.store._types import (
--- a/packages/swifttide_daemon/src/swifttide_daemon/store/_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/store/_client.py
@@ -1,4 +1,7 @@
-"""The platform's protocol: the only module that knows it."""
+"""Client of the platform's HTTP interface for rows, transactions and objects.
+
+No other module of this package depends on the platform's protocol.
+"""
 
 import time
 from typing import Any
@@ -22,27 +25,32 @@
 from swifttide_daemon.transport import make_pool, verdict_of
 
 MAX_COMMIT_ATTEMPTS = 3
-"""A lost answer is settled by sending the same transaction id again."""
+"""Attempts to send a transaction.
+
+Each attempt sends the same transaction id, so that a transaction whose response was
+lost is not committed twice.
+"""
 
 RETRY_PAUSE_SECONDS = 0.05
 OUTAGE_DETECTION_SECONDS = 2.0
+"""Time without a response after which a failing platform counts as unavailable."""
 
 
 class PlatformClient:
-    """Tables, transactions and objects of the platform.
+    """Reads and writes rows and objects of the platform.
 
     Parameters
     ----------
     pool : urllib3.PoolManager
-        Connections.
+        Connection pool.
     base_url : str
         Base URL of the platform.
     headers : dict of str to str
         Sent with each call.
     timeout : urllib3.Timeout
-        For one exchange.
+        Timeout of one HTTP request.
     telemetry : Telemetry
-        Gets a span for each exchange of a traced request, and its time.
+        Records the duration of each HTTP request, and a span if it is traced.
     """
 
     def __init__(
@@ -66,7 +74,7 @@
     def from_settings(
         cls, settings: Settings, telemetry: Telemetry
     ) -> "PlatformClient":
-        """Return a client for the platform that the settings name."""
+        """Return a client of the platform named in the settings."""
         timeouts = settings.timeouts
         return cls(
             pool=make_pool(),
@@ -80,21 +88,22 @@
 
     @property
     def available(self) -> bool:
-        """Whether a call is worth trying.
+        """Whether the platform is considered available.
 
-        One lost answer is no outage: only when nothing has been answered for a
-        while are requests refused before they are sent.
+        A single failed request doesn't count as an outage. Callers refuse requests
+        without trying the platform only if the last request failed and none has
+        succeeded for `OUTAGE_DETECTION_SECONDS`.
         """
         silent = time.monotonic() - self._answered_at
         return not self._failing or silent < OUTAGE_DETECTION_SECONDS
 
     @property
     def failing(self) -> bool:
-        """Whether the last call got no answer."""
+        """Whether the last request got no response or a server error."""
         return self._failing
 
     def read(self, table: str, key: str) -> Result[Row | None, PlatformError]:
-        """Read one row; None when there is none."""
+        """Read one row; the result is None if there is no such row."""
         answer = self._exchange("GET", f"/v1/rows/{table}/{quote(key, safe='')}")
         if answer.is_error():
             return answer
@@ -110,7 +119,10 @@
     def scan(
         self, table: str, prefix: str = "", after: str = "", limit: int = 1000
     ) -> Result[list[Row], PlatformError]:
-        """Read the rows of a key prefix in key order, all pages of them."""
+        """Read all rows with a key prefix, in key order.
+
+        The rows are fetched in pages of `limit` rows, from the first key after `after`.
+        """
         rows: list[Row] = []
         while True:
             page = self._page(table, prefix, after, limit)
@@ -137,7 +149,11 @@
     def commit(
         self, tx: Transaction, tries: int = MAX_COMMIT_ATTEMPTS
     ) -> Result[Committed | Conflict, PlatformError]:
-        """Run a transaction; its id settles answers that get lost."""
+        """Commit a transaction, with retries after lost responses and errors.
+
+        All attempts send the same transaction id. If the outcome remains unknown, it
+        is read by that id.
+        """
         body = msgspec.json.encode(tx)
         unknown = False
         error = PlatformError("not tried")
@@ -150,7 +166,7 @@
                 if status in (200, 409):
                     return Ok(_decode_outcome(payload))
                 error = PlatformError(f"transaction: status {status}")
-                # A 4xx says that the platform took in nothing.
+                # A 4xx status means that the platform didn't commit the transaction.
                 unknown = unknown or status >= 500
                 continue
             error = answer.error
@@ -161,10 +177,11 @@
         return Error(PlatformError(error.detail, may_have_committed=unknown))
 
     def _read_outcome(self, tx: Transaction) -> Committed | None:
-        """Return what became of a transaction whose answers were all lost.
+        """Return the outcome of a transaction whose responses were all lost.
 
-        Writes can be answered by nobody while reads still are. Without this a host
-        would lose its lease though each of its renewals took effect.
+        The platform may answer reads while it doesn't answer writes. Without this
+        read, a host would lose its lease although its renewals are committed. Returns
+        None if the transaction isn't known to have been committed.
         """
         answer = self._exchange("GET", f"/v1/transactions/{quote(tx.id, safe='')}")
         if answer.is_error() or answer.ok[0] != 200:
@@ -175,11 +192,11 @@
     def commit_grouped(
         self, tx: Transaction
     ) -> Result[Committed | Conflict, PlatformError]:
-        """Run a transaction, under load together with others of this host."""
+        """Commit a transaction, merged under load with others of this host."""
         return self._group_commit.submit(tx)
 
     def put_object(self, name: str, data: bytes) -> Result[None, PlatformError]:
-        """Store an object; storing the same bytes again is no error."""
+        """Store an object; storing the same bytes again succeeds."""
         answer = self._exchange("PUT", f"/v1/objects/{quote(name, safe='')}", data)
         if answer.is_error():
             stored = answer.error.may_have_committed and self.get_object(name)
@@ -189,7 +206,7 @@
         return Error(PlatformError(f"put object: status {answer.ok[0]}"))
 
     def get_object(self, name: str) -> Result[bytes, PlatformError]:
-        """Read an object whole."""
+        """Read the complete content of an object."""
         answer = self._exchange("GET", f"/v1/objects/{quote(name, safe='')}")
         if answer.is_error():
             return answer
@@ -234,7 +251,7 @@
 
 
 def _operation(method: str, path: str) -> str:
-    """Return a name with few values, such as ``rows.get``, for series and spans."""
+    """Return a low-cardinality name, such as ``rows.get``, for metrics and spans."""
     resource = path.split("/")[2].partition("?")[0]
     return f"{resource}.{method.lower()}"
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/store/_group_commit.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/store/_group_commit.py
@@ -1,18 +1,21 @@
-"""Several transactions of a host in one.
-
-Load pattern: many turns and non-repeatable calls end or begin at a host at the same
-time, each with a transaction of its own. The platform takes several hundred writes a
-second from all hosts together; without grouping ten hosts reach that at some thirty
-calls a second each, and from there on every turn waits for its commit.
-
-Transactions go out at once as long as there are fewer than one an interval; a few may
-come close together, as the intent and the outcome of one call do. Beyond that they wait
-for the next interval, and all that wait go out as one. Fifty a second for each of ten
-hosts are the several hundred of the platform; the wait is at most an interval, which a
-turn of seconds doesn't show. Measured by ``make bench-daemon``, docs/measurements.md.
-
-When the group meets a conflict nothing of it took effect, and each transaction is sent
-alone: one program that another host has taken must not fail its neighbours' turns.
+"""Merges concurrent transactions of one host into a single transaction.
+
+Under load, many turns and non-repeatable calls begin or end on a host at the same time,
+each with its own transaction. The platform accepts several hundred writes per second
+from all hosts together. Without grouping, ten hosts reach that limit at about thirty
+calls per second each, and from then on every turn waits for its commit.
+
+Transactions are sent immediately while there are fewer than one per interval on
+average. A few may be sent in quick succession, such as the intent and the outcome of
+one call. Beyond that, transactions wait for the next interval, and all that wait are
+sent as one group. Fifty groups per second from each of ten hosts amount to the several
+hundred writes of the platform. The wait is at most one interval, which is negligible
+for a turn that takes seconds. ``make bench-daemon`` measures it, see
+docs/measurements.md.
+
+If a group meets a conflict, none of its transactions is committed, and each is sent
+separately. A program that another host has taken over thus doesn't fail the turns of
+other programs.
 """
 
 import threading
@@ -30,18 +33,20 @@
 )
 
 GROUP_INTERVAL_SECONDS = 0.02
+"""Mean interval between two groups under load."""
+
 BURST_GROUPS = 10
-"""Intervals that a quiet spell saves up for transactions that come close together."""
+"""Groups that may be sent in quick succession after a period of low load."""
 
 MAX_GROUP_TRANSACTIONS = 50
-"""Transactions in a group: a conflict costs as many exchanges."""
+"""Maximum transactions in a group; a conflict causes as many single commits."""
 
 Outcome = Result[Committed | Conflict, PlatformError]
 
 
 @dataclass(slots=True)
 class _Group:
-    """Transactions that go out together, led by the thread that opened it."""
+    """Transactions that are sent together by the thread that opened the group."""
 
     send_at: float
     transactions: list[Transaction] = field(default_factory=list)
@@ -50,19 +55,19 @@
     done: threading.Event = field(default_factory=threading.Event)
 
     def accepts(self, tx: Transaction) -> bool:
-        """Return whether a transaction may join: rows of two must not overlap."""
+        """Return whether the group has room and shares no row with a transaction."""
         fits = len(self.transactions) < MAX_GROUP_TRANSACTIONS
         return fits and self.row_keys.isdisjoint(_row_keys(tx))
 
     def add(self, tx: Transaction) -> int:
-        """Add a transaction and return its number."""
+        """Add a transaction and return its index in the group."""
         self.transactions.append(tx)
         self.row_keys.update(_row_keys(tx))
         return len(self.transactions) - 1
 
 
 class GroupCommit:
-    """Groups transactions by time.
+    """Groups transactions that are submitted within one interval.
 
     Parameters
     ----------
@@ -71,7 +76,7 @@
     interval_seconds : float
         Mean time between two groups under load.
     burst : int
-        Groups that may go out at once after a quiet spell.
+        Groups that may be sent without delay after a period of low load.
     """
 
     def __init__(
@@ -88,26 +93,29 @@
         self._lock = threading.Lock()
 
     def submit(self, tx: Transaction) -> Outcome:
-        """Send a transaction, alone or in a group, and return its own outcome."""
+        """Commit a transaction, alone or in a group, and return its own outcome.
+
+        Blocks the calling thread until the outcome is known.
+        """
         with self._lock:
             group = self._open_group
-            leads = group is None or not group.accepts(tx)
-            if leads:
+            is_leader = group is None or not group.accepts(tx)
+            if is_leader:
                 group = self._open_group = _Group(self._reserve_send_time())
-            number = group.add(tx)
-        if leads:
+            index = group.add(tx)
+        if is_leader:
             self._run_group(group)
         else:
             group.done.wait()
-        return group.outcomes[number]
+        return group.outcomes[index]
 
     def _reserve_send_time(self) -> float:
-        """Return when the next group may go out, and count it."""
+        """Return when the next group may be sent, and reserve that time for it."""
         now = time.monotonic()
-        saved = (self.burst - 1) * self.interval_seconds
-        due = max(now, self._scheduled_until - saved)
+        burst_seconds = (self.burst - 1) * self.interval_seconds
+        send_at = max(now, self._scheduled_until - burst_seconds)
         self._scheduled_until = max(self._scheduled_until, now) + self.interval_seconds
-        return due
+        return send_at
 
     def _run_group(self, group: _Group) -> None:
         time.sleep(max(0.0, group.send_at - time.monotonic()))
@@ -139,7 +147,7 @@
 def _split_versions(
     transactions: list[Transaction], versions: tuple[int, ...]
 ) -> list[Outcome]:
-    """Return each transaction's part of the versions that were written."""
+    """Return the outcome of each transaction with the versions of its own writes."""
     outcomes: list[Outcome] = []
     start = 0
     for tx in transactions:
--- a/packages/swifttide_daemon/src/swifttide_daemon/store/_types.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/store/_types.py
@@ -1,4 +1,4 @@
-"""Messages to and from the platform's table service."""
+"""Messages exchanged with the platform's table service."""
 
 import uuid
 from dataclasses import dataclass, field
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row as read.
+    """A row as read from a table.
 
     Parameters
     ----------
     key : str
         Key within its table.
     version : int
-        Grows with each write of the row.
+        Version of the row, which increases with each write.
     value : dict
-        Content.
+        Content of the row.
     """
 
     key: str
@@ -26,7 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """A condition of a transaction: the row still has this version (0: absent)."""
+    """A condition of a transaction: the row has this version.
+
+    Version 0 requires that the row doesn't exist.
+    """
 
     table: str
     key: str
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """A write of a transaction; None deletes."""
+    """A write of a transaction; a value of None deletes the row."""
 
     table: str
     key: str
@@ -43,21 +46,21 @@
 
 
 def new_id() -> str:
-    """Return an id that no other process makes."""
+    """Return a globally unique id."""
     return uuid.uuid4().hex
 
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Writes that take effect together, if all checks hold.
+    """Writes that are committed atomically if all checks hold.
 
     Parameters
     ----------
     checks : tuple of Check
     writes : tuple of Write
     id : str
-        Sent again with every retry, so that the platform answers a transaction whose
-        first answer was lost with that first outcome.
+        Id that is the same in every retry. If the response to a transaction was lost,
+        the platform answers its retry with the first outcome.
     """
 
     checks: tuple[Check, ...] = ()
@@ -67,14 +70,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """The transaction took effect; versions of the rows written, in order."""
+    """The transaction was committed.
+
+    Parameters
+    ----------
+    versions : tuple of int
+        Versions of the written rows, in the order of the writes.
+    """
 
     versions: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A check failed; nothing was written."""
+    """A check of the transaction failed, and nothing was written.
+
+    Parameters
+    ----------
+    table, key : str
+        Row of the failed check.
+    version : int
+        Current version of that row.
+    """
 
     table: str
     key: str
@@ -83,14 +100,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformError:
-    """The platform gave no usable answer.
+    """The platform gave no usable response.
 
     Parameters
     ----------
     detail : str
-        For the log.
+        Description of the failure, for logs.
     may_have_committed : bool
-        Whether a transaction may have taken effect all the same.
+        Whether the transaction may have been committed nevertheless.
     """
 
     detail: str
--- a/packages/swifttide_daemon/src/swifttide_daemon/store/tests/test_group_commit.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/store/tests/test_group_commit.py
@@ -1,4 +1,4 @@
-"""Transactions of a host that go out together."""
+"""Tests of merging concurrent transactions into groups."""
 
 import threading
 from concurrent.futures import ThreadPoolExecutor
@@ -22,7 +22,7 @@
 
 
 class Platform:
-    """Rows by key; holds the first transaction up until told to go on."""
+    """Store of row versions; blocks the first commit until `proceed` is set."""
 
     def __init__(self):
         self.versions = {}
@@ -45,7 +45,7 @@
 
 
 def submit_together(platform, transactions):
-    """Submit transactions while an interval that has begun keeps them waiting."""
+    """Submit transactions that wait for the end of the current interval."""
     group = GroupCommit(platform.commit, interval_seconds=0.3, burst=1)
     platform.proceed.set()
     group.submit(tx("first"))
@@ -60,8 +60,8 @@
         assert GroupCommit(platform.commit).submit(tx("a")).ok == Committed((1,))
 
     def test_burst_is_sent_without_delay(self):
-        """A call's intent and outcome are milliseconds apart. Paced like a load, each
-        call of a quiet host would wait for nothing.
+        """The intent and the outcome of a call are milliseconds apart. If they were
+        delayed as under load, each call of an idle host would wait needlessly.
         """
         platform = Platform()
         platform.proceed.set()
@@ -70,8 +70,8 @@
             assert group.submit(tx(key)).ok == Committed((1,))
 
     def test_waiting_transactions_are_merged(self):
-        """Many turns end at once. Sent one by one they would use up the platform's
-        writes, and turns at all hosts would wait.
+        """Many turns end at once. If each sent its own transaction, they would exhaust
+        the platform's write capacity, and turns on all hosts would wait.
         """
         platform = Platform()
         platform.versions["b"] = 6
@@ -84,7 +84,7 @@
         ]
 
     def test_conflict_does_not_fail_other_transactions(self):
-        """Another host has taken one of the programs over."""
+        """Another host has taken over one of the programs."""
         platform = Platform()
         platform.versions["b"] = 6
         outcomes = submit_together(platform, [tx("a"), tx("b", 5), tx("c")])
@@ -92,8 +92,9 @@
         assert outcomes[0].ok == outcomes[2].ok == Committed((1,))
 
     def test_transactions_on_the_same_row_are_not_merged(self):
-        """Two sub-agents settle on one root: the second must see the first's version,
-        or both would count as written though one overwrote the other.
+        """Two sub-agents update the row of their common root. The second must meet the
+        version that the first wrote, or both would be reported as committed although
+        one overwrote the other.
         """
         platform = Platform()
         outcomes = submit_together(platform, [tx("a"), tx("a")])
