--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
@@ -37,7 +37,7 @@
 )
 from swifttide_daemon.web import Request, Response, Route
 
-TARGET_MESSAGES = {
+TARGET_REQUEST_TYPES = {
     "acquire": AcquireRequest,
     "release": ReleaseRequest,
     "renew": RenewRequest,
@@ -86,31 +86,33 @@
     def routes(self) -> list[Route]:
         """Return the routes of the peers' port."""
         return [
-            Route("POST", "/peer/v1/heartbeat", self.beat),
-            Route("GET", "/peer/v1/config", self.changes),
+            Route("POST", "/peer/v1/heartbeat", self.answer_heartbeat),
+            Route("GET", "/peer/v1/config", self.config_changes),
             Route("POST", "/peer/v1/promises", self.promise),
             Route("POST", "/peer/v1/relays", self.relay),
             Route("POST", "/peer/v1/calls", self.call),
             Route("POST", "/peer/v1/customers/{customer}/draw", self.draw),
-            Route("POST", "/peer/v1/customers/{customer}/return", self.give_back),
-            Route("POST", "/peer/v1/customers/{customer}/yield", self.yield_to),
-            Route("POST", "/peer/v1/handovers", self.receive),
+            Route("POST", "/peer/v1/customers/{customer}/return", self.return_tokens),
+            Route("POST", "/peer/v1/customers/{customer}/yield", self.yield_tokens),
+            Route("POST", "/peer/v1/handovers", self.accept_handovers),
             Route("POST", "/peer/v1/targets/{target}/{verb}", self.target),
-            Route("GET", "/peer/v1/fingerprints/{fingerprint}", self.standing),
-            Route("POST", "/peer/v1/fingerprints/{fingerprint}/{verb}", self.strike),
+            Route("GET", "/peer/v1/fingerprints/{fingerprint}", self.refusal_status),
+            Route(
+                "POST", "/peer/v1/fingerprints/{fingerprint}/{verb}", self.record_result
+            ),
             Route("POST", "/peer/v1/programs/judge", self.judge_programs),
-            Route("POST", "/peer/v1/programs/exported", self.exported),
+            Route("POST", "/peer/v1/programs/exported", self.record_export),
         ]
 
-    def beat(self, req: Request) -> Response:
+    def answer_heartbeat(self, req: Request) -> Response:
         """Answer a heartbeat with one's own."""
         return Response.from_json(self.heartbeat.message())
 
-    def changes(self, req: Request) -> Response:
+    def config_changes(self, req: Request) -> Response:
         """Answer with the configuration's log after a version."""
         after = req.param("after", "0")
         if not after.isdigit():
-            return _bad("after: expected a whole number")
+            return _bad_request("after: expected a whole number")
         # The version first: a change that comes between the two is sent twice, never
         # left out.
         version = self.config.version
@@ -120,12 +122,14 @@
     def promise(self, req: Request) -> Response:
         """Let a lease stand that can't be renewed, or offer to relay."""
         message = _decode(req, PromiseRequest)
-        return _answer(message.map(self.outages.answer))
+        return _to_response(message.map(self.outages.answer))
 
     def relay(self, req: Request) -> Response:
         """Renew a lease for a host that doesn't see the platform."""
         tx = _decode(req, Transaction)
-        return _answer(tx.map(lambda found: {"versions": self.outages.relay(found)}))
+        return _to_response(
+            tx.map(lambda found: {"versions": self.outages.relay(found)})
+        )
 
     def call(self, req: Request) -> Response:
         """Run a call, or attach to it, and stream its events."""
@@ -142,9 +146,9 @@
     def draw(self, req: Request, customer: str) -> Response:
         """Lend rate tokens."""
         message = _decode(req, DrawRequest)
-        return _answer(message.bind(lambda m: self.shares.draw(customer, m)))
+        return _to_response(message.bind(lambda m: self.shares.draw(customer, m)))
 
-    def give_back(self, req: Request, customer: str) -> Response:
+    def return_tokens(self, req: Request, customer: str) -> Response:
         """Take rate tokens back."""
         message = _decode(req, ReturnRequest)
         if message.is_error():
@@ -152,12 +156,12 @@
         self.shares.give_back(customer, message.ok)
         return Response.from_json({})
 
-    def yield_to(self, req: Request, customer: str) -> Response:
+    def yield_tokens(self, req: Request, customer: str) -> Response:
         """Give another zone's holder a part of a customer's tokens."""
         message = _decode(req, YieldRequest)
-        return _answer(message.bind(lambda m: self.shares.yield_to(customer, m)))
+        return _to_response(message.bind(lambda m: self.shares.yield_to(customer, m)))
 
-    def receive(self, req: Request) -> Response:
+    def accept_handovers(self, req: Request) -> Response:
         """Take over buckets from the former holder of their slots."""
         message = _decode(req, list[HandoverRequest])
         if message.is_error():
@@ -167,12 +171,12 @@
 
     def target(self, req: Request, target: str, verb: str) -> Response:
         """Queue, release, renew or withdraw calls at a target."""
-        if verb not in TARGET_MESSAGES:
-            return _bad(f"got verb {verb!r}")
-        message = _decode(req, TARGET_MESSAGES[verb])
-        return _answer(message.bind(lambda m: self.grants.answer(target, m)))
+        if verb not in TARGET_REQUEST_TYPES:
+            return _bad_request(f"got verb {verb!r}")
+        message = _decode(req, TARGET_REQUEST_TYPES[verb])
+        return _to_response(message.bind(lambda m: self.grants.answer(target, m)))
 
-    def standing(self, req: Request, fingerprint: str) -> Response:
+    def refusal_status(self, req: Request, fingerprint: str) -> Response:
         """Say whether a request is put aside."""
         refusal = self.strikes.standing(fingerprint)
         return Response.from_json(
@@ -182,7 +186,7 @@
             }
         )
 
-    def strike(self, req: Request, fingerprint: str, verb: str) -> Response:
+    def record_result(self, req: Request, fingerprint: str, verb: str) -> Response:
         """Note that a request's target died, or that the request ran."""
         match verb:
             case "strike":
@@ -193,7 +197,7 @@
             case "ran":
                 self.strikes.note_ran(fingerprint)
             case _:
-                return _bad(f"got verb {verb!r}")
+                return _bad_request(f"got verb {verb!r}")
         return Response.from_json({})
 
     def judge_programs(self, req: Request) -> Response:
@@ -204,7 +208,7 @@
         judgements = self.caches.judge.judge(listed.ok.programs)
         return Response.from_json(Judgements(judgements))
 
-    def exported(self, req: Request) -> Response:
+    def record_export(self, req: Request) -> Response:
         """Note that a target's holder has moved a program's cache."""
         exported = _decode(req, ExportedCache)
         if exported.is_error():
@@ -225,11 +229,11 @@
         return Error(Refusal(Reason.BAD_REQUEST, f"the message: {exc}"))
 
 
-def _answer(result: Result[Any, Refusal]) -> Response:
+def _to_response(result: Result[Any, Refusal]) -> Response:
     if result.is_error():
         return Response.from_refusal(result.error)
     return Response.from_json(result.ok)
 
 
-def _bad(detail: str) -> Response:
+def _bad_request(detail: str) -> Response:
     return Response.from_refusal(Refusal(Reason.BAD_REQUEST, detail))
--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_heartbeat.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_heartbeat.py
@@ -19,11 +19,11 @@
 
 log = logging.getLogger(__name__)
 
-PERIOD_SECONDS = 1.0
-OWN_ZONE_SECONDS = 4.0
+HEARTBEAT_INTERVAL_SECONDS = 1.0
+CROSS_ZONE_AGE_SECONDS = 4.0
 """Age of its knowledge from which a host asks other zones' hosts, too."""
 
-UNKNOWN_AGE = 1e9
+MAX_REPORTED_AGE_SECONDS = 1e9
 
 
 class Heartbeat:
@@ -61,22 +61,22 @@
             "zone": me.zone,
             "incarnation": me.incarnation,
             "config_version": self.config.version,
-            "config_fresh_age": min(self.config.fresh_age(), UNKNOWN_AGE),
+            "config_fresh_age": min(self.config.fresh_age(), MAX_REPORTED_AGE_SECONDS),
             "state": me.state.value,
         }
 
     def _run(self) -> None:
-        while not self._stop.wait(PERIOD_SECONDS):
+        while not self._stop.wait(HEARTBEAT_INTERVAL_SECONDS):
             rows = self.membership.neighbours()
-            if self.config.fresh_age() > OWN_ZONE_SECONDS:
+            if self.config.fresh_age() > CROSS_ZONE_AGE_SECONDS:
                 rows += self.membership.random_hosts_of_other_zones()
             for row in rows:
                 try:
-                    self._beat(row)
+                    self._exchange_heartbeat(row)
                 except (msgspec.MsgspecError, KeyError):
                     log.exception("a heartbeat's answer can't be read")
 
-    def _beat(self, row: HostRow) -> None:
+    def _exchange_heartbeat(self, row: HostRow) -> None:
         sent_at = time.monotonic()
         answer = self.peers.call(
             row.peer_url, "POST", "/peer/v1/heartbeat", self.message()
@@ -85,11 +85,11 @@
             return
         version = answer.ok["config_version"]
         if version > self.config.version:
-            self._pull(row)
+            self._pull_changes(row)
         age = answer.ok["config_fresh_age"]
         self.config.confirm_fresh(version, sent_at - age)
 
-    def _pull(self, row: HostRow) -> None:
+    def _pull_changes(self, row: HostRow) -> None:
         path = f"/peer/v1/config?after={self.config.version}"
         answer = self.peers.call(row.peer_url, "GET", path)
         if answer.is_ok():
