--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/__init__.py
@@ -1,4 +1,4 @@
-"""The peers' port: heartbeats and what other hosts can ask."""
+"""The peer port: heartbeats and request handlers for calls from other hosts."""
 
 from swifttide_daemon.peering._handlers import PeerHandlers
 from swifttide_daemon.peering._heartbeat import Heartbeat
--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
@@ -1,4 +1,4 @@
-"""What other hosts can ask of this one."""
+"""HTTP handlers of the peer port, which serves requests of other hosts."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -46,7 +46,9 @@
 
 
 class PeerHandlers:
-    """Answers on the peers' port.
+    """Decodes requests of other hosts and passes them to the services of this host.
+
+    A call is refused unless this host holds the slot of the call's program.
 
     Parameters
     ----------
@@ -54,11 +56,17 @@
     config : ConfigService
     heartbeat : Heartbeat
     table : CallTable
+        Calls that run on this host.
     shares : ShareService
+        Rate tokens of the customers.
     grants : GrantBook
+        Queues of the targets.
     strikes : StrikeService
+        Records of requests that crash their targets.
     caches : CacheKeeper
+        Caches of programs at the targets.
     outages : OutageService
+        Lease extensions while the platform is unavailable.
     """
 
     def __init__(
@@ -84,7 +92,7 @@
         self.caches = caches
 
     def routes(self) -> list[Route]:
-        """Return the routes of the peers' port."""
+        """Return the routes of the peer port."""
         return [
             Route("POST", "/peer/v1/heartbeat", self.answer_heartbeat),
             Route("GET", "/peer/v1/config", self.config_changes),
@@ -105,34 +113,34 @@
         ]
 
     def answer_heartbeat(self, req: Request) -> Response:
-        """Answer a heartbeat with one's own."""
+        """Answer a heartbeat with the heartbeat message of this host."""
         return Response.from_json(self.heartbeat.message())
 
     def config_changes(self, req: Request) -> Response:
-        """Answer with the configuration's log after a version."""
+        """Return the configuration changes after the version given by ``after``."""
         after = req.param("after", "0")
         if not after.isdigit():
             return _bad_request("after: expected a whole number")
-        # The version first: a change that comes between the two is sent twice, never
-        # left out.
+        # The version is read first. A change that is applied between the two reads
+        # is then sent twice instead of being omitted.
         version = self.config.version
         changes = self.config.changes_after(int(after))
         return Response.from_json({"version": version, "changes": changes})
 
     def promise(self, req: Request) -> Response:
-        """Let a lease stand that can't be renewed, or offer to relay."""
+        """Promise not to depose a host that can't renew, or offer to relay for it."""
         message = _decode(req, PromiseRequest)
         return _to_response(message.map(self.outages.answer))
 
     def relay(self, req: Request) -> Response:
-        """Renew a lease for a host that doesn't see the platform."""
+        """Commit a lease renewal for a host that can't reach the platform."""
         tx = _decode(req, Transaction)
         return _to_response(
             tx.map(lambda found: {"versions": self.outages.relay(found)})
         )
 
     def call(self, req: Request) -> Response:
-        """Run a call, or attach to it, and stream its events."""
+        """Start a call, or attach to it if it is running, and stream its events."""
         call = _decode(req, Call)
         if call.is_error():
             return Response.from_refusal(call.error)
@@ -144,12 +152,12 @@
         return Response(200, lines, (("Content-Type", "application/x-ndjson"),))
 
     def draw(self, req: Request, customer: str) -> Response:
-        """Lend rate tokens."""
+        """Lend rate tokens of a customer to an entry host."""
         message = _decode(req, DrawRequest)
         return _to_response(message.bind(lambda m: self.shares.draw(customer, m)))
 
     def return_tokens(self, req: Request, customer: str) -> Response:
-        """Take rate tokens back."""
+        """Take back rate tokens that an entry host has returned."""
         message = _decode(req, ReturnRequest)
         if message.is_error():
             return Response.from_refusal(message.error)
@@ -157,12 +165,12 @@
         return Response.from_json({})
 
     def yield_tokens(self, req: Request, customer: str) -> Response:
-        """Give another zone's holder a part of a customer's tokens."""
+        """Transfer a part of a customer's tokens to the holder in another zone."""
         message = _decode(req, YieldRequest)
         return _to_response(message.bind(lambda m: self.shares.yield_to(customer, m)))
 
     def accept_handovers(self, req: Request) -> Response:
-        """Take over buckets from the former holder of their slots."""
+        """Accept token buckets from the previous holder of their slots."""
         message = _decode(req, list[HandoverRequest])
         if message.is_error():
             return Response.from_refusal(message.error)
@@ -170,14 +178,14 @@
         return Response.from_json({})
 
     def target(self, req: Request, target: str, verb: str) -> Response:
-        """Queue, release, renew or withdraw calls at a target."""
+        """Acquire, release, renew or withdraw places of calls at a target."""
         if verb not in TARGET_REQUEST_TYPES:
-            return _bad_request(f"got verb {verb!r}")
+            return _bad_request(f"got unknown verb {verb!r}")
         message = _decode(req, TARGET_REQUEST_TYPES[verb])
         return _to_response(message.bind(lambda m: self.grants.answer(target, m)))
 
     def refusal_status(self, req: Request, fingerprint: str) -> Response:
-        """Say whether a request is put aside."""
+        """Return whether requests with a fingerprint are refused, and for how long."""
         refusal = self.strikes.standing(fingerprint)
         return Response.from_json(
             {
@@ -187,7 +195,7 @@
         )
 
     def record_result(self, req: Request, fingerprint: str, verb: str) -> Response:
-        """Note that a request's target died, or that the request ran."""
+        """Record that a request's target crashed, or that the request succeeded."""
         match verb:
             case "strike":
                 raw = _decode(req, dict[str, Any])
@@ -197,11 +205,11 @@
             case "ran":
                 self.strikes.note_ran(fingerprint)
             case _:
-                return _bad_request(f"got verb {verb!r}")
+                return _bad_request(f"got unknown verb {verb!r}")
         return Response.from_json({})
 
     def judge_programs(self, req: Request) -> Response:
-        """Say which of the programs that a target lists are gone or pause."""
+        """Return the known state of the programs that a target lists."""
         listed = _decode(req, ListedPrograms)
         if listed.is_error():
             return Response.from_refusal(listed.error)
@@ -209,7 +217,7 @@
         return Response.from_json(Judgements(judgements))
 
     def record_export(self, req: Request) -> Response:
-        """Note that a target's holder has moved a program's cache."""
+        """Record where the holder of a target has moved a program's cache."""
         exported = _decode(req, ExportedCache)
         if exported.is_error():
             return Response.from_refusal(exported.error)
@@ -226,7 +234,9 @@
     try:
         return Ok(msgspec.json.decode(req.body, type=of_type))
     except (msgspec.MsgspecError, UnicodeDecodeError) as exc:
-        return Error(Refusal(Reason.BAD_REQUEST, f"the message: {exc}"))
+        return Error(
+            Refusal(Reason.BAD_REQUEST, f"the message can't be decoded: {exc}")
+        )
 
 
 def _to_response(result: Result[Any, Refusal]) -> Response:
--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_heartbeat.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_heartbeat.py
@@ -1,8 +1,10 @@
-"""Heartbeats between neighbours, by which configuration spreads without the platform.
+"""Heartbeats between hosts, which spread the configuration without the platform.
 
-A zone can lose the platform and still reach other hosts. Each host tells its
-neighbours the configuration version it has; whoever has less pulls the rest of the
-log from the other.
+A zone may lose its connection to the platform while it still reaches other hosts. Each
+host asks its neighbours for their configuration version once per second. A host that
+learns of a newer version fetches the missing changes from that neighbour. A host whose
+configuration hasn't been confirmed as the newest for some seconds also contacts one
+host of each other zone.
 """
 
 import logging
@@ -21,13 +23,14 @@
 
 HEARTBEAT_INTERVAL_SECONDS = 1.0
 CROSS_ZONE_AGE_SECONDS = 4.0
-"""Age of its knowledge from which a host asks other zones' hosts, too."""
+"""Age of the configuration from which hosts of other zones are contacted, too."""
 
 MAX_REPORTED_AGE_SECONDS = 1e9
+"""Reported age of a configuration that was never confirmed, in place of infinity."""
 
 
 class Heartbeat:
-    """Talks to the neighbours once a period.
+    """Exchanges heartbeats with the neighbours at a fixed interval.
 
     Parameters
     ----------
@@ -46,15 +49,15 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Send heartbeats from now on."""
+        """Start the thread that sends heartbeats."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Send no more heartbeats."""
+        """Stop sending heartbeats."""
         self._stop.set()
 
     def message(self) -> dict[str, object]:
-        """Return what this host says of itself."""
+        """Return the heartbeat message of this host."""
         me = self.membership.me
         return {
             "host": me.host,
@@ -74,7 +77,7 @@
                 try:
                     self._exchange_heartbeat(row)
                 except (msgspec.MsgspecError, KeyError):
-                    log.exception("a heartbeat's answer can't be read")
+                    log.exception("the response to a heartbeat can't be decoded")
 
     def _exchange_heartbeat(self, row: HostRow) -> None:
         sent_at = time.monotonic()
