--- a/packages/swifttide_daemon/src/swifttide_daemon/peers/_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peers/_client.py
@@ -12,7 +12,7 @@
 from swifttide_daemon.settings import Settings
 from swifttide_daemon.transport import make_pool, verdict_of
 
-COME_BACK_SECONDS = 1.0
+RETRY_AFTER_SECONDS = 1.0
 
 
 class PeerClient:
@@ -61,7 +61,7 @@
             return answer
         if answer.ok.status == 200:
             return Ok(msgspec.json.decode(answer.ok.data))
-        return Error(_refusal_of(answer.ok.data))
+        return Error(_decode_refusal(answer.ok.data))
 
     def stream(
         self, url: str, path: str, message: Any, read_seconds: float, traceparent: str
@@ -76,8 +76,8 @@
         if answer.is_error():
             return answer
         if answer.ok.status == 200:
-            return Ok(_lines(answer.ok))
-        return Error(_refusal_of(answer.ok.read(cache_content=True)))
+            return Ok(_complete_lines(answer.ok))
+        return Error(_decode_refusal(answer.ok.read(cache_content=True)))
 
     def _send(
         self,
@@ -109,13 +109,13 @@
                     Reason.TIMEOUT,
                     f"no answer of the peer ({type(exc).__name__})",
                     verdict=verdict_of(exc),
-                    retry_after_seconds=COME_BACK_SECONDS,
+                    retry_after_seconds=RETRY_AFTER_SECONDS,
                 )
             )
         return Ok(answer)
 
 
-def _lines(answer: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
+def _complete_lines(answer: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
     """Yield whole lines; a last piece without a line end was cut and is dropped."""
     rest = b""
     try:
@@ -128,7 +128,7 @@
         answer.close()
 
 
-def _refusal_of(body: bytes) -> Refusal:
+def _decode_refusal(body: bytes) -> Refusal:
     try:
         problem = msgspec.json.decode(body)
         return msgspec.convert(
--- a/packages/swifttide_daemon/src/swifttide_daemon/peers/_proof.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peers/_proof.py
@@ -12,7 +12,7 @@
 from swifttide_core.verdicts import Reason, Refusal
 from swifttide_daemon.web import Request
 
-MAX_SKEW_SECONDS = 60.0
+MAX_CLOCK_SKEW_SECONDS = 60.0
 """Wall clocks of hosts are kept by the machines' time service, well within this."""
 
 HOST_HEADER = "X-Peer-Host"
@@ -55,7 +55,7 @@
         got = req.header(PROOF_HEADER.lower()).encode("utf-8", "surrogateescape")
         if not hmac.compare_digest(wanted.encode(), got):
             return Refusal(Reason.UNAUTHENTICATED, "the peer's proof does not fit")
-        if abs(time.time() - float(at)) > MAX_SKEW_SECONDS:
+        if abs(time.time() - float(at)) > MAX_CLOCK_SKEW_SECONDS:
             return Refusal(Reason.UNAUTHENTICATED, "the peer's proof is too old")
         return None
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/peers/tests/test_proof.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peers/tests/test_proof.py
@@ -23,7 +23,7 @@
 
 
 class TestPeerProof:
-    def test_call_of_a_peer(self):
+    def test_signed_call_is_accepted(self):
         assert check(signed()) is None
         assert check(signed(path=PATH + "?after=3")) is None
 
@@ -37,7 +37,7 @@
             {"headers": {}},
         ],
     )
-    def test_call_that_was_changed_on_its_way(self, changes):
+    def test_altered_call_is_refused(self, changes):
         """Somebody who reaches the peers' port draws a customer's rate or reads a
         program with a call that was recorded and changed.
         """
@@ -45,15 +45,15 @@
 
     @pytest.mark.parametrize("name", ["x-peer-host", "x-peer-time", "x-peer-proof"])
     @pytest.mark.parametrize("value", ["", "other", "\xff\udcff", "nan", "1e999"])
-    def test_headers_that_were_changed(self, name, value):
+    def test_altered_headers_are_refused(self, name, value):
         req = signed()
         headers = {**req.headers, name: value}
         assert check(replace(req, headers=headers)).status == 401
 
-    def test_other_secret(self):
+    def test_call_signed_with_another_secret_is_refused(self):
         assert check(signed(secret=b"other")).status == 401
 
-    def test_recorded_call(self):
+    def test_replayed_call_is_refused_after_the_maximum_clock_skew(self):
         with freeze_time("2026-01-01") as clock:
             req = signed()
             assert check(req) is None
