--- a/packages/swifttide_daemon/src/swifttide_daemon/peers/_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peers/_client.py
@@ -1,4 +1,4 @@
-"""Calls to other hosts."""
+"""HTTP client for the peer ports of other hosts."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -13,19 +13,20 @@
 from swifttide_daemon.transport import make_pool, verdict_of
 
 RETRY_AFTER_SECONDS = 1.0
+"""Retry delay given in the refusal if a peer doesn't answer."""
 
 
 class PeerClient:
-    """Signed JSON calls to peers' ports.
+    """Sends signed JSON requests to the peer ports of other hosts.
 
     Parameters
     ----------
     pool : urllib3.PoolManager
-        Connections.
+        Connection pool.
     proof : PeerProof
-        Signs the calls.
+        Signs the requests.
     connect_seconds, read_seconds : float
-        Timeouts of a short call.
+        Default timeouts of a request.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings, proof: PeerProof) -> "PeerClient":
-        """Return a client with the settings' timeouts."""
+        """Return a client with the timeouts given in the settings."""
         timeouts = settings.timeouts
         return cls(make_pool(), proof, timeouts.connect_seconds, timeouts.peer_seconds)
 
@@ -55,7 +56,7 @@
         read_seconds: float | None = None,
         headers: dict[str, str] | None = None,
     ) -> Result[Any, Refusal]:
-        """Send a message and return the decoded answer, or the peer's refusal."""
+        """Send a message and return the decoded response, or the peer's refusal."""
         answer = self._send(url, method, path, message, read_seconds, headers, True)
         if answer.is_error():
             return answer
@@ -66,10 +67,11 @@
     def stream(
         self, url: str, path: str, message: Any, read_seconds: float, traceparent: str
     ) -> Result[Iterator[bytes], Refusal]:
-        """Send a message and return the lines of the answer as they come.
+        """Send a message and return the lines of the response as they arrive.
 
-        The iterator raises urllib3's errors when the stream breaks; it ends without
-        one when the peer closed it. Closing the iterator closes the connection.
+        The iterator raises an exception of urllib3 if the connection breaks, and ends
+        normally if the peer ends the stream. Closing the iterator closes the
+        connection.
         """
         headers = {"traceparent": traceparent} if traceparent else {}
         answer = self._send(url, "POST", path, message, read_seconds, headers, False)
@@ -107,7 +109,7 @@
             return Error(
                 Refusal(
                     Reason.TIMEOUT,
-                    f"no answer of the peer ({type(exc).__name__})",
+                    f"the peer did not answer ({type(exc).__name__})",
                     verdict=verdict_of(exc),
                     retry_after_seconds=RETRY_AFTER_SECONDS,
                 )
@@ -116,7 +118,7 @@
 
 
 def _complete_lines(answer: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
-    """Yield whole lines; a last piece without a line end was cut and is dropped."""
+    """Yield the complete lines of a response; a truncated last line is dropped."""
     rest = b""
     try:
         for chunk in answer.stream(amt=None):
@@ -124,7 +126,7 @@
             *lines, rest = rest.split(b"\n")
             yield from lines
     finally:
-        # Whatever is unread must not be taken for the answer of a later call.
+        # Unread data must not be taken for the response to a later request.
         answer.close()
 
 
@@ -141,4 +143,4 @@
             Refusal,
         )
     except (msgspec.MsgspecError, KeyError, TypeError):
-        return Refusal(Reason.INTERNAL, "the peer's answer can't be read")
+        return Refusal(Reason.INTERNAL, "the peer's response can't be decoded")
--- a/packages/swifttide_daemon/src/swifttide_daemon/peers/_proof.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peers/_proof.py
@@ -1,8 +1,8 @@
-"""Proof that a peer's call comes from this deployment.
+"""Authentication of requests between the hosts of one deployment.
 
-Anyone who reaches the peers' port could otherwise hand out a customer's rate or read
-a program. The secret signs each call; the time bounds how long a recorded call
-can be played again.
+Each request carries an HMAC-SHA256 signature made with the deployment's secret. Without
+it, anyone who reaches the peer port could draw a customer's rate tokens or read a
+program. The signed time limits how long a recorded request can be replayed.
 """
 
 import hmac
@@ -13,7 +13,10 @@
 from swifttide_daemon.web import Request
 
 MAX_CLOCK_SKEW_SECONDS = 60.0
-"""Wall clocks of hosts are kept by the machines' time service, well within this."""
+"""Maximum difference between the signed time and the receiver's wall clock.
+
+The time service of the machines keeps the wall clocks of hosts well within this limit.
+"""
 
 HOST_HEADER = "X-Peer-Host"
 TIME_HEADER = "X-Peer-Time"
@@ -21,12 +24,12 @@
 
 
 class PeerProof:
-    """Signs and checks calls between hosts.
+    """Signs and verifies requests between hosts.
 
     Parameters
     ----------
     secret : bytes
-        The deployment's secret.
+        Secret shared by all hosts of the deployment.
     host : str
         Id of this host.
     """
@@ -36,7 +39,7 @@
         self.host = host
 
     def headers(self, method: str, path: str, body: bytes) -> dict[str, str]:
-        """Return the headers that prove a call of this host."""
+        """Return the authentication headers of a request of this host."""
         at = f"{time.time():.3f}"
         return {
             HOST_HEADER: self.host,
@@ -45,18 +48,23 @@
         }
 
     def check(self, req: Request) -> Refusal | None:
-        """Return why a call is refused, or None."""
+        """Return the refusal of a request, or None if its signature is valid."""
         at = req.header(TIME_HEADER.lower())
         host = req.header(HOST_HEADER.lower())
         path = f"{req.path}?{req.query}" if req.query else req.path
         wanted = self._sign(req.method, path, host, at, req.body)
-        # As bytes: compare_digest raises for a str that isn't ASCII, and the call
-        # would be answered as an error that may have run.
+        # Compared as bytes: compare_digest raises for a str that isn't ASCII, and the
+        # response would then be an error that says that the call may have run.
         got = req.header(PROOF_HEADER.lower()).encode("utf-8", "surrogateescape")
         if not hmac.compare_digest(wanted.encode(), got):
-            return Refusal(Reason.UNAUTHENTICATED, "the peer's proof does not fit")
+            return Refusal(
+                Reason.UNAUTHENTICATED, "the signature of the peer's request is invalid"
+            )
         if abs(time.time() - float(at)) > MAX_CLOCK_SKEW_SECONDS:
-            return Refusal(Reason.UNAUTHENTICATED, "the peer's proof is too old")
+            return Refusal(
+                Reason.UNAUTHENTICATED,
+                "the time of the peer's request differs too much from the local clock",
+            )
         return None
 
     def _sign(self, method: str, path: str, host: str, at: str, body: bytes) -> str:
--- a/packages/swifttide_daemon/src/swifttide_daemon/peers/tests/test_proof.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peers/tests/test_proof.py
@@ -1,4 +1,4 @@
-"""Proof that a call comes from this deployment."""
+"""Tests of the authentication of requests between hosts."""
 
 from dataclasses import replace
 
@@ -38,8 +38,8 @@
         ],
     )
     def test_altered_call_is_refused(self, changes):
-        """Somebody who reaches the peers' port draws a customer's rate or reads a
-        program with a call that was recorded and changed.
+        """An attacker who reaches the peer port alters a recorded request in order to
+        draw a customer's rate tokens or to read a program.
         """
         assert check(replace(signed(), **changes)).status == 401
 
