--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/_edit.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/_edit.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownOutcome:
-    """It isn't known whether the edit was committed, or the edit was given up.
+    """The edit failed, or it isn't known whether it was committed.
 
     Parameters
     ----------
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/_editor.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/_editor.py
@@ -39,7 +39,7 @@
 )
 
 MAX_COMMIT_ATTEMPTS = 50
-"""Attempts to commit an edit before it is given up.
+"""Attempts to commit an edit before it is reported as failed.
 
 An attempt fails if an edit of another document is committed in the meantime, because
 all edits write the head row.
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_other_zones.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/tests/test_other_zones.py
@@ -18,7 +18,7 @@
     def read(self, zone):
         self.n_reads += 1
         if self.view is None:
-            return Error(PlatformError("away"))
+            return Error(PlatformError("unavailable"))
         return Ok(self.view)
 
     def head_version(self, zone):
--- a/packages/swifttide_daemon/src/swifttide_daemon/store/_group_commit.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/store/_group_commit.py
@@ -55,7 +55,10 @@
     done: threading.Event = field(default_factory=threading.Event)
 
     def accepts(self, tx: Transaction) -> bool:
-        """Return whether the group has room and shares no row with a transaction."""
+        """Return whether a transaction may join the group.
+
+        Two transactions of a group must not check or write the same row.
+        """
         fits = len(self.transactions) < MAX_GROUP_TRANSACTIONS
         return fits and self.row_keys.isdisjoint(_row_keys(tx))
 
