--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -269,8 +269,8 @@
         ]
 
     def _note_zones(self) -> None:
-        self.config.listen(
-            lambda _changes: self.membership.note_zones(
+        self.config.add_listener(
+            lambda _changes: self.membership.add_known_zones(
                 target.zone for target in self.config.targets()
             )
         )
--- a/packages/swifttide_daemon/src/swifttide_daemon/configuration/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/configuration/__init__.py
@@ -1,6 +1,16 @@
-"""The configuration: what is in force here, and edits of it."""
+"""The configuration of the deployment: the version in force here, and its edits.
 
-from swifttide_daemon.configuration._edit import Accepted, EditOutcome, Raced, Unknown
+The configuration consists of named documents of several kinds, such as customers,
+targets, profiles and keys. Each edit of a document increments the version of the
+whole configuration by one.
+"""
+
+from swifttide_daemon.configuration._edit import (
+    Accepted,
+    EditOutcome,
+    OutdatedVersion,
+    UnknownOutcome,
+)
 from swifttide_daemon.configuration._editor import ConfigEditor
 from swifttide_daemon.configuration._service import ConfigService
 
@@ -9,6 +19,6 @@
     "ConfigEditor",
     "ConfigService",
     "EditOutcome",
-    "Raced",
-    "Unknown",
+    "OutdatedVersion",
+    "UnknownOutcome",
 ]
--- a/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/limits/_share_service.py
@@ -71,7 +71,7 @@
         self._managed_shares: dict[str, ManagedShare] = {}
         self._pending_handovers: dict[str, tuple[HandoverRequest, float]] = {}
         self._lock = threading.Lock()
-        config.listen(self._on_config_changes)
+        config.add_listener(self._on_config_changes)
         membership.on_moved(self._hand_over)
 
     @property
--- a/packages/swifttide_daemon/src/swifttide_daemon/membership/_outage_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/membership/_outage_service.py
@@ -1,4 +1,10 @@
-"""Keeps a zone's leases while the platform is away, by promises of all its hosts."""
+"""Extends this host's lease while the platform is unavailable.
+
+A host that can't renew its lease asks all other hosts of its zone to promise that
+they depose no host and claim no slot for some time. While every host promises, the
+lease may be extended without the platform. If one of them still reaches the platform,
+the host renews through it instead.
+"""
 
 import threading
 import time
@@ -20,15 +26,23 @@
 from swifttide_daemon.peers import PeerClient
 from swifttide_daemon.store import Committed, PlatformClient, Transaction
 
-ASK_SECONDS = 0.8
-"""A host that doesn't answer within this doesn't promise in this round."""
+PROMISE_TIMEOUT_SECONDS = 0.8
+"""Read timeout of a promise request; a late answer counts as no promise."""
 
-MAX_ASKERS = 16
+MAX_CONCURRENT_REQUESTS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class PromiseRequest:
-    """A host that can't renew asks the others to let its lease stand."""
+    """Request of a host that can't renew its lease, sent to the others of its zone.
+
+    Parameters
+    ----------
+    host : str
+        Id of the requesting host.
+    seconds : float
+        Requested duration of the promise.
+    """
 
     host: str
     seconds: float
@@ -36,14 +50,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseAnswer:
-    """Exactly one of the two is set."""
+    """Answer to a `PromiseRequest`; exactly one of the two fields is set.
+
+    Parameters
+    ----------
+    promise : Promise or None
+        Set when the answering host can't reach the platform either.
+    seen : PlatformSeen or None
+        Set when the answering host reaches the platform.
+    """
 
     promise: Promise | None = None
     seen: PlatformSeen | None = None
 
 
 class OutageService:
-    """Asks for promises and gives them.
+    """Requests promises for this host's lease and answers requests of other hosts.
 
     Parameters
     ----------
@@ -51,7 +73,9 @@
         Lease of this host.
     platform : PlatformClient
     peers : PeerClient
+        Sends the requests to the other hosts.
     times : ExtensionTimes
+        Durations of promises and lease extensions.
     """
 
     def __init__(
@@ -65,19 +89,22 @@
         self.platform = platform
         self.peers = peers
         self.times = times
-        self._book = PromiseState(keeper.row.host)
+        self._promise_state = PromiseState(keeper.row.host)
         self._lock = threading.Lock()
 
     def may_depose(self) -> bool:
-        """Return whether this host may depose hosts and claim slots now."""
+        """Return whether no promise keeps this host from deposing and claiming now."""
         with self._lock:
-            return self._book.may_depose(time.monotonic())
+            return self._promise_state.may_depose(time.monotonic())
 
     def answer(self, req: PromiseRequest) -> PromiseAnswer:
-        """Promise to depose and claim nothing, or say that the platform is there."""
+        """Promise to depose no host and claim no slot, or report a reachable platform.
+
+        The promise lasts `req.seconds`, limited to the configured promise duration.
+        """
         seconds = min(req.seconds, self.times.promise_seconds)
         with self._lock:
-            self._book, answer = self._book.answer(
+            self._promise_state, answer = self._promise_state.answer(
                 time.monotonic(), seconds, not self.platform.failing
             )
         match answer:
@@ -87,12 +114,15 @@
                 return PromiseAnswer(seen=answer)
 
     def relay(self, tx: Transaction) -> tuple[int, ...]:
-        """Commit a renewal for a host that doesn't see the platform.
+        """Commit a lease renewal for a host that can't reach the platform.
+
+        Transactions that write to tables other than ``hosts`` are rejected.
 
         Returns
         -------
         tuple of int
-            Versions of the rows; empty when it isn't known to have taken effect.
+            Versions of the written rows; empty if the transaction was rejected or isn't
+            known to have been committed.
         """
         if any(write.table != HOSTS for write in tx.writes):
             return ()
@@ -102,40 +132,50 @@
         return ()
 
     def extend(self, others: list[HostRow]) -> None:
-        """Ask all other hosts of the zone to let this host's lease stand."""
+        """Extend this host's lease by promises, or renew it through another host.
+
+        Parameters
+        ----------
+        others : list of HostRow
+            All other hosts of the zone that aren't dead.
+        """
         now = time.monotonic()
         asked = ExtensionRound.from_hosts(now, (r.host for r in others), self.times)
         urls = {row.host: row.peer_url for row in others}
-        for answer in self._ask_all(list(urls.values())):
+        for answer in self._request_promises(list(urls.values())):
             found = answer.promise or answer.seen
             if found is not None:
                 asked = asked.with_answer(found)
         for host in sorted(asked.relay_hosts):
-            if self._renew_through(urls[host]):
+            if self._renew_via_peer(urls[host]):
                 return
         self.keeper.extend(asked, self.times)
 
-    def _ask_all(self, urls: list[str]) -> list[PromiseAnswer]:
+    def _request_promises(self, urls: list[str]) -> list[PromiseAnswer]:
         if not urls:
             return []
-        with ThreadPoolExecutor(min(MAX_ASKERS, len(urls))) as pool:
-            answers = list(pool.map(self._ask, urls))
+        with ThreadPoolExecutor(min(MAX_CONCURRENT_REQUESTS, len(urls))) as pool:
+            answers = list(pool.map(self._request_promise, urls))
         return [answer for answer in answers if answer is not None]
 
-    def _ask(self, url: str) -> PromiseAnswer | None:
+    def _request_promise(self, url: str) -> PromiseAnswer | None:
         message = PromiseRequest(self.keeper.row.host, self.times.promise_seconds)
         answer = self.peers.call(
-            url, "POST", "/peer/v1/promises", message, read_seconds=ASK_SECONDS
+            url,
+            "POST",
+            "/peer/v1/promises",
+            message,
+            read_seconds=PROMISE_TIMEOUT_SECONDS,
         )
         if answer.is_error():
             return None
         return msgspec.convert(answer.ok, PromiseAnswer)
 
-    def _renew_through(self, url: str) -> bool:
+    def _renew_via_peer(self, url: str) -> bool:
         sent_at = time.monotonic()
         tx = self.keeper.renewal()
         answer = self.peers.call(url, "POST", "/peer/v1/relays", tx)
         relayed = answer.is_ok() and answer.ok["versions"]
         if relayed:
-            self.keeper.confirm(sent_at, answer.ok["versions"][0])
+            self.keeper.record_relayed_renewal(sent_at, answer.ok["versions"][0])
         return bool(relayed)
--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_heartbeat.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_heartbeat.py
@@ -1,8 +1,10 @@
-"""Heartbeats between neighbours, by which configuration spreads without the platform.
+"""Heartbeats between hosts, which spread the configuration without the platform.
 
-A zone can lose the platform and still reach other hosts. Each host tells its
-neighbours the configuration version it has; whoever has less pulls the rest of the
-log from the other.
+A zone may lose its connection to the platform while it still reaches other hosts. Each
+host asks its neighbours for their configuration version once per second. A host that
+learns of a newer version fetches the missing changes from that neighbour. A host whose
+configuration hasn't been confirmed as the newest for some seconds also contacts one
+host of each other zone.
 """
 
 import logging
@@ -19,15 +21,16 @@
 
 log = logging.getLogger(__name__)
 
-PERIOD_SECONDS = 1.0
-OWN_ZONE_SECONDS = 4.0
-"""Age of its knowledge from which a host asks other zones' hosts, too."""
+HEARTBEAT_INTERVAL_SECONDS = 1.0
+CROSS_ZONE_AGE_SECONDS = 4.0
+"""Age of the configuration from which hosts of other zones are contacted, too."""
 
-UNKNOWN_AGE = 1e9
+MAX_REPORTED_AGE_SECONDS = 1e9
+"""Reported age of a configuration that was never confirmed, in place of infinity."""
 
 
 class Heartbeat:
-    """Talks to the neighbours once a period.
+    """Exchanges heartbeats with the neighbours at a fixed interval.
 
     Parameters
     ----------
@@ -46,37 +49,37 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Send heartbeats from now on."""
+        """Start the thread that sends heartbeats."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Send no more heartbeats."""
+        """Stop sending heartbeats."""
         self._stop.set()
 
     def message(self) -> dict[str, object]:
-        """Return what this host says of itself."""
+        """Return the heartbeat message of this host."""
         me = self.membership.me
         return {
             "host": me.host,
             "zone": me.zone,
             "incarnation": me.incarnation,
             "config_version": self.config.version,
-            "config_fresh_age": min(self.config.fresh_age(), UNKNOWN_AGE),
+            "config_fresh_age": min(self.config.fresh_age(), MAX_REPORTED_AGE_SECONDS),
             "state": me.state.value,
         }
 
     def _run(self) -> None:
-        while not self._stop.wait(PERIOD_SECONDS):
+        while not self._stop.wait(HEARTBEAT_INTERVAL_SECONDS):
             rows = self.membership.neighbours()
-            if self.config.fresh_age() > OWN_ZONE_SECONDS:
-                rows += self.membership.hosts_elsewhere()
+            if self.config.fresh_age() > CROSS_ZONE_AGE_SECONDS:
+                rows += self.membership.random_hosts_of_other_zones()
             for row in rows:
                 try:
-                    self._beat(row)
+                    self._exchange_heartbeat(row)
                 except (msgspec.MsgspecError, KeyError):
-                    log.exception("a heartbeat's answer can't be read")
+                    log.exception("the response to a heartbeat can't be decoded")
 
-    def _beat(self, row: HostRow) -> None:
+    def _exchange_heartbeat(self, row: HostRow) -> None:
         sent_at = time.monotonic()
         answer = self.peers.call(
             row.peer_url, "POST", "/peer/v1/heartbeat", self.message()
@@ -85,13 +88,13 @@
             return
         version = answer.ok["config_version"]
         if version > self.config.version:
-            self._pull(row)
+            self._pull_changes(row)
         age = answer.ok["config_fresh_age"]
         self.config.confirm_fresh(version, sent_at - age)
 
-    def _pull(self, row: HostRow) -> None:
+    def _pull_changes(self, row: HostRow) -> None:
         path = f"/peer/v1/config?after={self.config.version}"
         answer = self.peers.call(row.peer_url, "GET", path)
         if answer.is_ok():
             changes = msgspec.convert(answer.ok["changes"], list[Change])
-            self.config.learn_from_peer(answer.ok["version"], changes)
+            self.config.apply_peer_changes(answer.ok["version"], changes)
--- a/packages/swifttide_daemon/src/swifttide_daemon/store/_group_commit.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/store/_group_commit.py
@@ -1,18 +1,21 @@
-"""Several transactions of a host in one.
-
-Load pattern: many turns and non-repeatable calls end or begin at a host at the same
-time, each with a transaction of its own. The platform takes several hundred writes a
-second from all hosts together; without grouping ten hosts reach that at some thirty
-calls a second each, and from there on every turn waits for its commit.
-
-Transactions go out at once as long as there are fewer than one an interval; a few may
-come close together, as the intent and the outcome of one call do. Beyond that they wait
-for the next interval, and all that wait go out as one. Fifty a second for each of ten
-hosts are the several hundred of the platform; the wait is at most an interval, which a
-turn of seconds doesn't show. Measured by ``make bench-daemon``, docs/measurements.md.
-
-When the group meets a conflict nothing of it took effect, and each transaction is sent
-alone: one program that another host has taken must not fail its neighbours' turns.
+"""Merges concurrent transactions of one host into a single transaction.
+
+Under load, many turns and non-repeatable calls begin or end on a host at the same time,
+each with its own transaction. The platform accepts several hundred writes per second
+from all hosts together. Without grouping, ten hosts reach that limit at about thirty
+calls per second each, and from then on every turn waits for its commit.
+
+Transactions are sent immediately while there are fewer than one per interval on
+average. A few may be sent in quick succession, such as the intent and the outcome of
+one call. Beyond that, transactions wait for the next interval, and all that wait are
+sent as one group. Fifty groups per second from each of ten hosts amount to the several
+hundred writes of the platform. The wait is at most one interval, which is negligible
+for a turn that takes seconds. ``make bench-daemon`` measures it, see
+docs/measurements.md.
+
+If a group meets a conflict, none of its transactions is committed, and each is sent
+separately. A program that another host has taken over thus doesn't fail the turns of
+other programs.
 """
 
 import threading
@@ -29,40 +32,45 @@
     Transaction,
 )
 
-INTERVAL_SECONDS = 0.02
-BURST = 10
-"""Intervals that a quiet spell saves up for transactions that come close together."""
+GROUP_INTERVAL_SECONDS = 0.02
+"""Mean interval between two groups under load."""
 
-MAX_GROUP = 50
-"""Transactions in a group: a conflict costs as many exchanges."""
+BURST_GROUPS = 10
+"""Groups that may be sent in quick succession after a period of low load."""
+
+MAX_GROUP_TRANSACTIONS = 50
+"""Maximum transactions in a group; a conflict causes as many single commits."""
 
 Outcome = Result[Committed | Conflict, PlatformError]
 
 
 @dataclass(slots=True)
 class _Group:
-    """Transactions that go out together, led by the thread that opened it."""
+    """Transactions that are sent together by the thread that opened the group."""
 
-    due: float
+    send_at: float
     transactions: list[Transaction] = field(default_factory=list)
-    places: set[tuple[str, str]] = field(default_factory=set)
+    row_keys: set[tuple[str, str]] = field(default_factory=set)
     outcomes: list[Outcome] = field(default_factory=list)
     done: threading.Event = field(default_factory=threading.Event)
 
-    def takes(self, tx: Transaction) -> bool:
-        """Return whether a transaction may join: rows of two must not overlap."""
-        fits = len(self.transactions) < MAX_GROUP
-        return fits and self.places.isdisjoint(_places(tx))
+    def accepts(self, tx: Transaction) -> bool:
+        """Return whether a transaction may join the group.
+
+        Two transactions of a group must not check or write the same row.
+        """
+        fits = len(self.transactions) < MAX_GROUP_TRANSACTIONS
+        return fits and self.row_keys.isdisjoint(_row_keys(tx))
 
     def add(self, tx: Transaction) -> int:
-        """Add a transaction and return its number."""
+        """Add a transaction and return its index in the group."""
         self.transactions.append(tx)
-        self.places.update(_places(tx))
+        self.row_keys.update(_row_keys(tx))
         return len(self.transactions) - 1
 
 
 class GroupCommit:
-    """Groups transactions by time.
+    """Groups transactions that are submitted within one interval.
 
     Parameters
     ----------
@@ -71,55 +79,58 @@
     interval_seconds : float
         Mean time between two groups under load.
     burst : int
-        Groups that may go out at once after a quiet spell.
+        Groups that may be sent without delay after a period of low load.
     """
 
     def __init__(
         self,
         commit: Callable[[Transaction], Outcome],
-        interval_seconds: float = INTERVAL_SECONDS,
-        burst: int = BURST,
+        interval_seconds: float = GROUP_INTERVAL_SECONDS,
+        burst: int = BURST_GROUPS,
     ) -> None:
         self.burst = burst
         self.commit = commit
         self.interval_seconds = interval_seconds
-        self._open: _Group | None = None
-        self._paid_until = float("-inf")
+        self._open_group: _Group | None = None
+        self._scheduled_until = float("-inf")
         self._lock = threading.Lock()
 
     def submit(self, tx: Transaction) -> Outcome:
-        """Send a transaction, alone or in a group, and return its own outcome."""
+        """Commit a transaction, alone or in a group, and return its own outcome.
+
+        Blocks the calling thread until the outcome is known.
+        """
         with self._lock:
-            group = self._open
-            leads = group is None or not group.takes(tx)
-            if leads:
-                group = self._open = _Group(self._next_due())
-            number = group.add(tx)
-        if leads:
-            self._lead(group)
+            group = self._open_group
+            is_leader = group is None or not group.accepts(tx)
+            if is_leader:
+                group = self._open_group = _Group(self._reserve_send_time())
+            index = group.add(tx)
+        if is_leader:
+            self._run_group(group)
         else:
             group.done.wait()
-        return group.outcomes[number]
+        return group.outcomes[index]
 
-    def _next_due(self) -> float:
-        """Return when the next group may go out, and count it."""
+    def _reserve_send_time(self) -> float:
+        """Return when the next group may be sent, and reserve that time for it."""
         now = time.monotonic()
-        saved = (self.burst - 1) * self.interval_seconds
-        due = max(now, self._paid_until - saved)
-        self._paid_until = max(self._paid_until, now) + self.interval_seconds
-        return due
+        burst_seconds = (self.burst - 1) * self.interval_seconds
+        send_at = max(now, self._scheduled_until - burst_seconds)
+        self._scheduled_until = max(self._scheduled_until, now) + self.interval_seconds
+        return send_at
 
-    def _lead(self, group: _Group) -> None:
-        time.sleep(max(0.0, group.due - time.monotonic()))
+    def _run_group(self, group: _Group) -> None:
+        time.sleep(max(0.0, group.send_at - time.monotonic()))
         with self._lock:
-            if self._open is group:
-                self._open = None
+            if self._open_group is group:
+                self._open_group = None
         try:
-            group.outcomes = self._send(group.transactions)
+            group.outcomes = self._commit_group(group.transactions)
         finally:
             group.done.set()
 
-    def _send(self, transactions: list[Transaction]) -> list[Outcome]:
+    def _commit_group(self, transactions: list[Transaction]) -> list[Outcome]:
         if len(transactions) == 1:
             return [self.commit(transactions[0])]
         merged = Transaction(
@@ -131,15 +142,15 @@
             return [outcome for _ in transactions]
         match outcome.ok:
             case Committed(versions):
-                return _shared_out(transactions, versions)
+                return _split_versions(transactions, versions)
             case Conflict():
                 return [self.commit(tx) for tx in transactions]
 
 
-def _shared_out(
+def _split_versions(
     transactions: list[Transaction], versions: tuple[int, ...]
 ) -> list[Outcome]:
-    """Return each transaction's part of the versions that were written."""
+    """Return the outcome of each transaction with the versions of its own writes."""
     outcomes: list[Outcome] = []
     start = 0
     for tx in transactions:
@@ -149,6 +160,6 @@
     return outcomes
 
 
-def _places(tx: Transaction) -> set[tuple[str, str]]:
+def _row_keys(tx: Transaction) -> set[tuple[str, str]]:
     checked = {(check.table, check.key) for check in tx.checks}
     return checked | {(write.table, write.key) for write in tx.writes}
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_grant_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_grant_client.py
@@ -108,7 +108,7 @@
                 late = time.monotonic() >= holder_deadline
                 if late or answer.error.reason is Reason.NO_TARGET:
                     return answer
-                self.membership.look_again()
+                self.membership.invalidate_views()
                 time.sleep(HOLDER_RETRY_SECONDS)
         self.withdraw(target, req.ticket_id)
         return Error(
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_queue_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_queue_service.py
@@ -53,7 +53,7 @@
         self._lock = threading.Lock()
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
-        config.listen(self._on_config_changes)
+        config.add_listener(self._on_config_changes)
 
     def start(self) -> None:
         """Start the thread that updates the queues."""
