--- a/benchmarks/policies/swifttide.py
+++ b/benchmarks/policies/swifttide.py
@@ -25,7 +25,7 @@
     Keep,
     PausedProgram,
     PauseEstimator,
-    decide,
+    decide_retention,
 )
 from swifttide_core.routing import (
     CachedPrefix,
@@ -150,11 +150,11 @@
         profile = self.paused_at[agent][1]
         paused = PausedProgram(
             cached_tokens=tokens,
-            upper_pause_seconds=self.pauses.upper(profile, 5.0),
+            upper_pause_seconds=self.pauses.upper_bound_seconds(profile, 5.0),
             idle_limit_seconds=300.0,
             target_leaving=self.world.seen_leaving[target],
         )
-        match decide(self.sim.now, self.features.retention, paused):
+        match decide_retention(self.sim.now, self.features.retention, paused):
             case Keep(until=until):
                 wait = until - self.sim.now
                 event = self.sim.after(wait, lambda: self._forget_agent(agent))
--- a/packages/swifttide_core/src/swifttide_core/retention/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/retention/__init__.py
@@ -1,7 +1,7 @@
 """Retention of engine cache during tool pauses and after programs."""
 
 from swifttide_core.retention._config import RetentionConfig, check_retention_config
-from swifttide_core.retention._decide import decide
+from swifttide_core.retention._decide import decide_retention
 from swifttide_core.retention._decision import Drop, Export, Keep, RetentionDecision
 from swifttide_core.retention._pause_estimator import PauseEstimator
 from swifttide_core.retention._paused_program import PausedProgram
@@ -17,6 +17,6 @@
     "RetentionConfig",
     "RetentionDecision",
     "check_retention_config",
-    "decide",
+    "decide_retention",
     "release_order",
 ]
--- a/packages/swifttide_core/src/swifttide_core/retention/_config.py
+++ b/packages/swifttide_core/src/swifttide_core/retention/_config.py
@@ -13,7 +13,7 @@
         Speed at which an engine computes a prompt again.
     import_tokens_per_second : float
         Speed at which an engine imports an exported cache; 0 when it can't.
-    keep_margin : float
+    keep_pause_multiple : float
         Upper pauses that a cache is kept for before the program counts as silent.
     min_export_tokens : int
         Length below which export costs more than computing again.
@@ -21,7 +21,7 @@
 
     prefill_tokens_per_second: float = 5_000.0
     import_tokens_per_second: float = 40_000.0
-    keep_margin: float = 10.0
+    keep_pause_multiple: float = 10.0
     min_export_tokens: int = 1_000
 
 
@@ -38,6 +38,8 @@
             "prefill_tokens_per_second must be > 0, "
             f"got {cfg.prefill_tokens_per_second!r}"
         )
-    if not cfg.keep_margin >= 1:
-        raise ValueError(f"keep_margin must be >= 1, got {cfg.keep_margin!r}")
+    if not cfg.keep_pause_multiple >= 1:
+        raise ValueError(
+            f"keep_pause_multiple must be >= 1, got {cfg.keep_pause_multiple!r}"
+        )
     return cfg
--- a/packages/swifttide_core/src/swifttide_core/retention/_decide.py
+++ b/packages/swifttide_core/src/swifttide_core/retention/_decide.py
@@ -24,7 +24,7 @@
 from swifttide_core.retention._paused_program import PausedProgram
 
 
-def decide(
+def decide_retention(
     now: float, cfg: RetentionConfig, program: PausedProgram
 ) -> RetentionDecision:
     """Decide on the cache of one paused program.
@@ -46,14 +46,15 @@
     if program.cached_tokens <= 0:
         return Drop()
     if program.target_leaving:
-        return Export() if _export_pays(cfg, program) else Drop()
+        return Export() if _export_is_worthwhile(cfg, program) else Drop()
     patience = min(
-        cfg.keep_margin * program.upper_pause_seconds, program.idle_limit_seconds
+        cfg.keep_pause_multiple * program.upper_pause_seconds,
+        program.idle_limit_seconds,
     )
     return Keep(now + patience)
 
 
-def _export_pays(cfg: RetentionConfig, program: PausedProgram) -> bool:
+def _export_is_worthwhile(cfg: RetentionConfig, program: PausedProgram) -> bool:
     if cfg.import_tokens_per_second <= cfg.prefill_tokens_per_second:
         return False
     return program.cached_tokens >= cfg.min_export_tokens
--- a/packages/swifttide_core/src/swifttide_core/retention/_pause_estimator.py
+++ b/packages/swifttide_core/src/swifttide_core/retention/_pause_estimator.py
@@ -1,6 +1,6 @@
 """Expected tool pause of a profile, learned from the pauses seen."""
 
-SMOOTHING = 0.1
+SMOOTHING_FACTOR = 0.1
 """Share of the newest pause; some ten pauses make up the estimate."""
 
 
@@ -27,11 +27,11 @@
             return
         mean, deviation = self._seen[profile]
         error = pause_seconds - mean
-        mean += SMOOTHING * error
-        deviation += SMOOTHING * (abs(error) - deviation)
+        mean += SMOOTHING_FACTOR * error
+        deviation += SMOOTHING_FACTOR * (abs(error) - deviation)
         self._seen[profile] = (mean, deviation)
 
-    def upper(self, profile: str, default_seconds: float) -> float:
+    def upper_bound_seconds(self, profile: str, default_seconds: float) -> float:
         """Return a pause that is seldom exceeded.
 
         Parameters
--- a/packages/swifttide_core/src/swifttide_core/retention/_release_order.py
+++ b/packages/swifttide_core/src/swifttide_core/retention/_release_order.py
@@ -23,7 +23,7 @@
         Its length.
     ended : bool
         True for a program that ended, False for one that went silent.
-    since : float
+    inactive_since : float
         Time of its end or of its last call.
     """
 
@@ -31,7 +31,7 @@
     target: str
     tokens: int
     ended: bool
-    since: float
+    inactive_since: float
 
 
 def release_order(held: Iterable[HeldCache]) -> tuple[HeldCache, ...]:
@@ -42,5 +42,7 @@
     Silent programs may still come back, so their cache may yet be of use.
     """
     return tuple(
-        sorted(held, key=lambda c: (not c.ended, -c.tokens, c.since, c.program))
+        sorted(
+            held, key=lambda c: (not c.ended, -c.tokens, c.inactive_since, c.program)
+        )
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/retention/_cache_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/retention/_cache_keeper.py
@@ -22,7 +22,7 @@
     HeldCache,
     Keep,
     RetentionConfig,
-    decide,
+    decide_retention,
     release_order,
 )
 from swifttide_core.slots import SlotKind, ranked_zones
@@ -144,7 +144,7 @@
             if judgement.gone or judgement.paused is None:
                 continue
             paused = replace(judgement.paused, target_leaving=target.leaving)
-            match decide(now - judgement.paused_seconds, self.cfg, paused):
+            match decide_retention(now - judgement.paused_seconds, self.cfg, paused):
                 case Keep(until) if until > now:
                     continue
                 case Export():
--- a/packages/swifttide_daemon/src/swifttide_daemon/retention/_program_judge.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/retention/_program_judge.py
@@ -83,7 +83,7 @@
             return Judgement(name, version)
         paused = PausedProgram(
             cached_tokens=row.total_tokens,
-            upper_pause_seconds=self.book.pauses.upper(
+            upper_pause_seconds=self.book.pauses.upper_bound_seconds(
                 profile.name, profile.tool_pause_seconds
             ),
             idle_limit_seconds=profile.idle_seconds,
