--- a/packages/swifttide_core/src/swifttide_core/retention/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/retention/__init__.py
@@ -1,4 +1,4 @@
-"""Retention of engine cache during tool pauses and after programs."""
+"""Decides how long engines keep the prompt caches of paused and ended programs."""
 
 from swifttide_core.retention._config import RetentionConfig, check_retention_config
 from swifttide_core.retention._decide import decide_retention
--- a/packages/swifttide_core/src/swifttide_core/retention/_config.py
+++ b/packages/swifttide_core/src/swifttide_core/retention/_config.py
@@ -1,22 +1,24 @@
-"""Settings of cache retention."""
+"""Parameters of cache retention."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class RetentionConfig:
-    """Speeds and bounds by which a paused program's cache is kept.
+    """Engine speeds and limits that decide how long a paused program's cache is kept.
 
     Parameters
     ----------
     prefill_tokens_per_second : float
-        Speed at which an engine computes a prompt again.
+        Speed at which an engine computes the cache of a prompt.
     import_tokens_per_second : float
-        Speed at which an engine imports an exported cache; 0 when it can't.
+        Speed at which an engine imports an exported cache; 0 if it can't import.
     keep_pause_multiple : float
-        Upper pauses that a cache is kept for before the program counts as silent.
+        Time that a cache is kept, as a multiple of ``upper_pause_seconds`` of the
+        program; at least 1. After this time the program counts as abandoned.
     min_export_tokens : int
-        Length below which export costs more than computing again.
+        Shortest cache that is exported. For shorter ones an export costs more than
+        computing the prompt again.
     """
 
     prefill_tokens_per_second: float = 5_000.0
@@ -26,12 +28,13 @@
 
 
 def check_retention_config(cfg: RetentionConfig) -> RetentionConfig:
-    """Return the settings when they are usable.
+    """Return the parameters if they are valid.
 
     Raises
     ------
     ValueError
-        States the setting, the expected range and the value found.
+        If a parameter is out of range. The message states its name, the valid range
+        and the value.
     """
     if not cfg.prefill_tokens_per_second > 0:
         raise ValueError(
--- a/packages/swifttide_core/src/swifttide_core/retention/_decide.py
+++ b/packages/swifttide_core/src/swifttide_core/retention/_decide.py
@@ -1,17 +1,24 @@
-"""Keep, export or drop the cache of a program that waits for a tool.
+"""Decides whether to keep, export or drop the cache of a paused program.
 
-Load pattern: programs pause for tools between calls, for seconds or minutes, and some
-never come back: the caller died, the tool hangs. Engines are taken out of service
-while paused programs have their histories there. Without this module the memory of
-programs that are gone stays tied up until the engine needs it, and each program of a
-leaving engine computes its whole history again elsewhere.
+A program pauses between two calls while its caller runs a tool. Its prompt cache
+meanwhile takes memory at the engine. The decision depends on the length of the cache,
+the expected pause, the idle limit of the program's profile and whether the engine is
+being taken out of service.
 
-A cache is kept until the program has been silent for several times the pause that its
-profile seldom exceeds, then dropped. When its engine is leaving, it is exported if an
-import is faster than computing, and dropped otherwise.
+Pauses last seconds or minutes. Some programs never resume, because the caller crashed
+or the tool hangs. Engines are also taken out of service while they hold the caches of
+paused programs. Without this module, the caches of abandoned programs would occupy
+memory until the engine evicts them, and every program of a leaving engine would have
+to compute its whole prompt again on another engine.
 
-Grounds: docs/design/retention.md. Dropping or exporting caches during short pauses to
-make room for others was tried in the bench and lost: what left first was needed first.
+A cache is kept until the pause has lasted a multiple of the program's usual upper
+pause, or the idle limit of its profile, whichever is shorter. It is then dropped. If
+the engine is leaving, the cache is exported when it is long enough and importing it is
+faster than computing it again. Otherwise it is dropped.
+
+Caches are not dropped or exported during short pauses to make room for others. In a
+benchmark this did worse, because the caches evicted first were needed first. The
+design is described in docs/design/retention.md.
 """
 
 from swifttide_core.retention._config import RetentionConfig
@@ -27,31 +34,33 @@
 def decide_retention(
     now: float, cfg: RetentionConfig, program: PausedProgram
 ) -> RetentionDecision:
-    """Decide on the cache of one paused program.
+    """Decide what to do with the cache of one paused program.
 
     Parameters
     ----------
     now : float
-        Monotonic seconds.
+        Time at which the pause began, in seconds of a monotonic clock. ``Keep.until``
+        is counted from it.
     cfg : RetentionConfig
-        Speeds and bounds.
+        Engine speeds and retention limits.
     program : PausedProgram
-        Its prefix, expected pause and engine.
+        Length of its cache, its pause limits and whether its engine is leaving.
 
     Returns
     -------
     Keep or Export or Drop
-        ``Keep`` names the time at which a program that is still silent is dropped.
+        ``Keep.until`` is the time at which the cache is dropped if the program has
+        not resumed by then.
     """
     if program.cached_tokens <= 0:
         return Drop()
     if program.target_leaving:
         return Export() if _export_is_worthwhile(cfg, program) else Drop()
-    patience = min(
+    keep_seconds = min(
         cfg.keep_pause_multiple * program.upper_pause_seconds,
         program.idle_limit_seconds,
     )
-    return Keep(now + patience)
+    return Keep(now + keep_seconds)
 
 
 def _export_is_worthwhile(cfg: RetentionConfig, program: PausedProgram) -> bool:
--- a/packages/swifttide_core/src/swifttide_core/retention/_decision.py
+++ b/packages/swifttide_core/src/swifttide_core/retention/_decision.py
@@ -1,16 +1,17 @@
-"""What becomes of a paused program's cache."""
+"""Possible decisions on the cache of a paused program."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Keep:
-    """Leave the cache at the engine.
+    """Keep the cache at the engine.
 
     Parameters
     ----------
     until : float
-        Time at which to decide again, or to release it.
+        Time at which the cache is dropped unless the program has resumed, in seconds
+        of a monotonic clock.
     """
 
     until: float
@@ -18,13 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Export:
-    """Copy the cache to the object store and release it at the engine."""
+    """Copy the cache to the object store, then release it at the engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class Drop:
-    """Release the cache; the next call computes its prompt again."""
+    """Release the cache. The next call computes its prompt again."""
 
 
 RetentionDecision = Keep | Export | Drop
-"""One of the three."""
+"""Decision on the cache of a paused program."""
--- a/packages/swifttide_core/src/swifttide_core/retention/_pause_estimator.py
+++ b/packages/swifttide_core/src/swifttide_core/retention/_pause_estimator.py
@@ -1,16 +1,17 @@
-"""Expected tool pause of a profile, learned from the pauses seen."""
+"""Estimates the tool pauses of each profile from the pauses observed."""
 
 SMOOTHING_FACTOR = 0.1
-"""Share of the newest pause; some ten pauses make up the estimate."""
+"""Weight of the newest pause; the estimate covers about the last ten pauses."""
 
 
 class PauseEstimator:
-    """Moving mean and mean deviation of the pauses of each profile.
+    """Exponential moving mean and mean deviation of the pauses of each profile.
 
     Notes
     -----
-    Mean plus two deviations, as TCP does for its retransmission timer [1]_: pauses
-    are skewed, and a mean alone would let go of the cache of every second program.
+    The upper bound is the mean plus two mean deviations, similar to TCP's
+    retransmission timer [1]_. Pauses have a skewed distribution. With the mean alone,
+    the cache of every second program would be dropped before the program resumes.
 
     References
     ----------
@@ -21,7 +22,7 @@
         self._seen: dict[str, tuple[float, float]] = {}
 
     def observe(self, profile: str, pause_seconds: float) -> None:
-        """Learn from a pause that ended."""
+        """Update the estimate with a pause that has ended."""
         if profile not in self._seen:
             self._seen[profile] = (pause_seconds, pause_seconds / 2)
             return
@@ -32,14 +33,14 @@
         self._seen[profile] = (mean, deviation)
 
     def upper_bound_seconds(self, profile: str, default_seconds: float) -> float:
-        """Return a pause that is seldom exceeded.
+        """Return a duration in seconds that few pauses of the profile exceed.
 
         Parameters
         ----------
         profile : str
             Name of the profile.
         default_seconds : float
-            The profile's own setting, used until a pause was seen.
+            Mean pause from the profile's settings, used until a pause is observed.
         """
         mean, deviation = self._seen.get(
             profile, (default_seconds, default_seconds / 2)
--- a/packages/swifttide_core/src/swifttide_core/retention/_paused_program.py
+++ b/packages/swifttide_core/src/swifttide_core/retention/_paused_program.py
@@ -1,22 +1,23 @@
-"""A program between two calls, and the engine that holds its cache."""
+"""State of a program that is paused between two calls."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class PausedProgram:
-    """A program whose last call has ended.
+    """A program whose last call has ended and whose cache is still at an engine.
 
     Parameters
     ----------
     cached_tokens : int
-        Length of its prefix at the engine.
+        Length of its cached prompt prefix at the engine.
     upper_pause_seconds : float
-        Pause that is seldom exceeded, see :class:`PauseEstimator`.
+        Duration that few pauses of its profile exceed, see :class:`PauseEstimator`.
     idle_limit_seconds : float
-        Silence after which the profile gives its cache up.
+        Longest time that its profile allows between two calls before its cache is
+        dropped.
     target_leaving : bool
-        Whether the engine that holds it takes no more work.
+        Whether the engine that holds the cache is being taken out of service.
     """
 
     cached_tokens: int
--- a/packages/swifttide_core/src/swifttide_core/retention/_release_order.py
+++ b/packages/swifttide_core/src/swifttide_core/retention/_release_order.py
@@ -1,8 +1,9 @@
-"""Order in which caches of programs that are gone are released.
+"""Orders the release of caches whose programs have ended or stopped calling.
 
-Load pattern: a host takes over slots with hundreds of programs that ended or went
-silent, or a customer withdraws all of its programs at once. Releases go to the engine
-one by one; in the order of arrival the few long histories that matter come late.
+A host that takes over slots may find hundreds of ended or abandoned programs, and a
+customer may withdraw all of its programs at once. Caches are released at the engine
+one by one. In order of arrival, the few long caches that take most of the memory would
+be released late.
 """
 
 from collections.abc import Iterable
@@ -11,20 +12,20 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldCache:
-    """Cache at a target that nobody will use.
+    """Cache at a target that probably no program will use again.
 
     Parameters
     ----------
     program : str
-        Id of the program.
+        Id of the program that the cache belongs to.
     target : str
-        Where it is held.
+        Name of the target that holds the cache.
     tokens : int
-        Its length.
+        Length of the cache.
     ended : bool
-        True for a program that ended, False for one that went silent.
+        True if the program has ended, False if it only stopped calling.
     inactive_since : float
-        Time of its end or of its last call.
+        Time at which the program ended or made its last call, in seconds.
     """
 
     program: str
@@ -35,11 +36,11 @@
 
 
 def release_order(held: Iterable[HeldCache]) -> tuple[HeldCache, ...]:
-    """Return ended programs before silent ones, the longest cache first.
+    """Return caches of ended programs first, and the longest first in each group.
 
     Notes
     -----
-    Silent programs may still come back, so their cache may yet be of use.
+    An abandoned program may still resume, so its cache may still be useful.
     """
     return tuple(
         sorted(
