--- a/packages/swifttide_cli/src/swifttide_cli/commands/_replay.py
+++ b/packages/swifttide_cli/src/swifttide_cli/commands/_replay.py
@@ -10,7 +10,7 @@
 from swifttide_cli.commands._options import Options
 from swifttide_cli.exit_codes import ExitCode
 from swifttide_cli.output import Failure, Report
-from swifttide_core.replay import Replayed, replay_lines
+from swifttide_core.replay import ReplayResult, replay_lines
 
 
 @cappa.command(
@@ -47,7 +47,7 @@
         return Ok(Report(data, lines=(line,)))
 
 
-def _failure(trace: str, found: Replayed) -> Failure:
+def _failure(trace: str, found: ReplayResult) -> Failure:
     n_differences = len(found.differences)
     return Failure(
         code=ExitCode.INVALID,
--- a/packages/swifttide_core/src/swifttide_core/replay/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/__init__.py
@@ -8,17 +8,17 @@
 
 from swifttide_core.replay._difference import Difference
 from swifttide_core.replay._encoding import encode_start, encode_step
-from swifttide_core.replay._machine import CALL, TURN, Machine
-from swifttide_core.replay._replay import Replayed, replay_lines
+from swifttide_core.replay._machine import CALL_MACHINE, TURN_MACHINE, StateMachine
+from swifttide_core.replay._replay import ReplayResult, replay_lines
 from swifttide_core.replay._trace_line import Outcome, TraceLine
 
 __all__ = [
-    "CALL",
-    "TURN",
+    "CALL_MACHINE",
+    "TURN_MACHINE",
     "Difference",
-    "Machine",
     "Outcome",
-    "Replayed",
+    "ReplayResult",
+    "StateMachine",
     "TraceLine",
     "encode_start",
     "encode_step",
--- a/packages/swifttide_core/src/swifttide_core/replay/_comparing.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_action_comparison.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from swifttide_core.replay._encoding import with_type
-from swifttide_core.replay._machine import Machine
+from swifttide_core.replay._encoding import encode_with_type
+from swifttide_core.replay._machine import StateMachine
 
 
-def same_actions(
-    machine: Machine, stated: tuple[dict[str, Any], ...], got: tuple[Any, ...]
+def actions_match(
+    machine: StateMachine, stated: tuple[dict[str, Any], ...], got: tuple[Any, ...]
 ) -> bool:
     """Return whether actions are as recorded.
 
@@ -20,11 +20,12 @@
     if len(stated) != len(got):
         return False
     return all(
-        _same(machine, one, other) for one, other in zip(stated, got, strict=True)
+        _action_matches(machine, one, other)
+        for one, other in zip(stated, got, strict=True)
     )
 
 
-def _same(machine: Machine, stated: dict[str, Any], got: Any) -> bool:
+def _action_matches(machine: StateMachine, stated: dict[str, Any], got: Any) -> bool:
     kind = machine.actions.get(stated.get("type", ""))
     if kind is not type(got):
         return False
@@ -33,18 +34,22 @@
         decoded = msgspec.convert(members, kind)
     except msgspec.ValidationError:
         return False
-    return decoded == got and _contains(with_type(got), stated)
+    return decoded == got and _contains_members(encode_with_type(got), stated)
 
 
-def _contains(whole: Any, part: Any) -> bool:
+def _contains_members(whole: Any, part: Any) -> bool:
     """Return whether `whole` has all members of `part`, at every depth."""
     match whole, part:
         case dict(), dict():
             known = part.keys() <= whole.keys()
-            return known and all(_contains(whole[name], part[name]) for name in part)
+            return known and all(
+                _contains_members(whole[name], part[name]) for name in part
+            )
         case list(), list():
             if len(whole) != len(part):
                 return False
-            return all(_contains(w, p) for w, p in zip(whole, part, strict=True))
+            return all(
+                _contains_members(w, p) for w, p in zip(whole, part, strict=True)
+            )
         case _:
             return whole == part
--- a/packages/swifttide_core/src/swifttide_core/replay/_encoding.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_encoding.py
@@ -4,18 +4,21 @@
 
 import msgspec
 
-from swifttide_core.replay._machine import Machine
+from swifttide_core.replay._machine import StateMachine
 
 
 def encode_start(
-    machine: Machine, run: str, arguments: tuple[Any, ...], actions: tuple[Any, ...]
+    machine: StateMachine,
+    run: str,
+    arguments: tuple[Any, ...],
+    actions: tuple[Any, ...],
 ) -> bytes:
     """Return the line of a run's start."""
     line = {
         "run": run,
         "machine": machine.name,
         "start": arguments,
-        "actions": [with_type(action) for action in actions],
+        "actions": [encode_with_type(action) for action in actions],
     }
     return msgspec.json.encode(line) + b"\n"
 
@@ -24,13 +27,13 @@
     """Return the line of one event."""
     line = {
         "run": run,
-        "event": with_type(event),
-        "actions": [with_type(action) for action in actions],
+        "event": encode_with_type(event),
+        "actions": [encode_with_type(action) for action in actions],
     }
     return msgspec.json.encode(line) + b"\n"
 
 
-def with_type(value: Any) -> dict[str, Any]:
+def encode_with_type(value: Any) -> dict[str, Any]:
     """Return a data class as JSON with the name of its type."""
     # Through JSON, so that what is compared is what a trace can hold.
     members = msgspec.json.decode(msgspec.json.encode(value))
--- a/packages/swifttide_core/src/swifttide_core/replay/_promises.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_invariants.py
@@ -10,21 +10,23 @@
 
 
 @dataclass(slots=True)
-class Promises:
+class InvariantChecker:
     """Follows all runs of a trace.
 
     Attributes
     ----------
-    sent : dict
+    dispatched_runs : dict
         Runs that sent a call to a target, by customer and idempotency key.
     chunks : dict
         Chunks that a turn was answered from, by program and number.
     """
 
-    sent: dict[str, list[str]] = field(default_factory=lambda: defaultdict(list))
+    dispatched_runs: dict[str, list[str]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
     chunks: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
 
-    def note(self, run: str, subject: Any, event: Any, actions: tuple) -> None:
+    def record_step(self, run: str, subject: Any, event: Any, actions: tuple) -> None:
         """Take in one step.
 
         Parameters
@@ -39,7 +41,7 @@
         """
         match subject:
             case IntentRow(key=key):
-                self._note_call(run, key, event, actions)
+                self._record_call_step(run, key, event, actions)
             case Turn(new_program=program):
                 for action in actions:
                     if isinstance(action, ReplyTurn):
@@ -49,7 +51,7 @@
         """Return the promises that were broken."""
         found = [
             Difference(0, ", ".join(runs), f"{key} runs at most once", str(len(runs)))
-            for key, runs in self.sent.items()
+            for key, runs in self.dispatched_runs.items()
             if len(runs) > 1
         ]
         return found + [
@@ -58,7 +60,7 @@
             if len(chunks) > 1
         ]
 
-    def _note_call(self, run: str, key: str, event: Any, actions: tuple) -> None:
-        if isinstance(event, TargetUnreached) and run in self.sent[key]:
-            self.sent[key].remove(run)
-        self.sent[key] += [run for a in actions if isinstance(a, Dispatch)]
+    def _record_call_step(self, run: str, key: str, event: Any, actions: tuple) -> None:
+        if isinstance(event, TargetUnreached) and run in self.dispatched_runs[key]:
+            self.dispatched_runs[key].remove(run)
+        self.dispatched_runs[key] += [run for a in actions if isinstance(a, Dispatch)]
--- a/packages/swifttide_core/src/swifttide_core/replay/_machine.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_machine.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Machine:
+class StateMachine:
     """A machine, and how its arguments and events are decoded.
 
     Parameters
@@ -45,28 +45,28 @@
     actions: dict[str, type]
 
 
-def _by_name(union: Any) -> dict[str, type]:
+def _types_by_name(union: Any) -> dict[str, type]:
     return {kind.__name__: kind for kind in get_args(union)}
 
 
-CALL = Machine(
+CALL_MACHINE = StateMachine(
     name="call",
     start=start_call,
     step=step_call,
     start_types=(IntentRow,),
-    events=_by_name(CallEvent),
-    actions=_by_name(CallAction),
+    events=_types_by_name(CallEvent),
+    actions=_types_by_name(CallAction),
 )
 """A call that may not be repeated."""
 
-TURN = Machine(
+TURN_MACHINE = StateMachine(
     name="turn",
     start=start_turn,
     step=step_turn,
     start_types=(Turn, tuple[ProgramRow | None, ...] | None),
-    events=_by_name(TurnEvent),
-    actions=_by_name(TurnAction),
+    events=_types_by_name(TurnEvent),
+    actions=_types_by_name(TurnAction),
 )
 """A turn of a program."""
 
-MACHINES = {machine.name: machine for machine in (CALL, TURN)}
+MACHINES = {machine.name: machine for machine in (CALL_MACHINE, TURN_MACHINE)}
--- a/packages/swifttide_core/src/swifttide_core/replay/_replay.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_replay.py
@@ -6,22 +6,22 @@
 
 import msgspec
 
-from swifttide_core.replay._comparing import same_actions
+from swifttide_core.replay._action_comparison import actions_match
 from swifttide_core.replay._difference import Difference
-from swifttide_core.replay._encoding import with_type
-from swifttide_core.replay._machine import MACHINES, Machine
-from swifttide_core.replay._promises import Promises
+from swifttide_core.replay._encoding import encode_with_type
+from swifttide_core.replay._invariants import InvariantChecker
+from swifttide_core.replay._machine import MACHINES, StateMachine
 from swifttide_core.replay._trace_line import Outcome, TraceLine
 
-DISPATCHES = ("Dispatch", "RunModel")
+DISPATCH_ACTION_TYPES = ("Dispatch", "RunModel")
 """Types of the actions that send something to a target."""
 
-ANSWERS = ("Reply", "Refuse", "ReplyTurn", "RefuseRequest")
+ANSWER_ACTION_TYPES = ("Reply", "Refuse", "ReplyTurn", "RefuseRequest")
 """Types of the actions that answer the caller; a run has one."""
 
 
 @dataclass(frozen=True, slots=True)
-class Replayed:
+class ReplayResult:
     """What a replay found.
 
     Parameters
@@ -39,13 +39,13 @@
 
 @dataclass(slots=True)
 class _Run:
-    machine: Machine
+    machine: StateMachine
     subject: Any
     state: Any
     actions: list[str] = field(default_factory=list)
 
 
-def replay_lines(lines: Iterable[bytes]) -> Replayed:
+def replay_lines(lines: Iterable[bytes]) -> ReplayResult:
     """Replay a trace.
 
     Parameters
@@ -55,38 +55,38 @@
 
     Returns
     -------
-    Replayed
+    ReplayResult
         Every difference: actions other than recorded, outcomes other than stated,
         promises broken over the whole trace, lines that can't be read.
     """
     replay = _Replay()
     for number, line in enumerate(lines, 1):
         if line.strip() and not line.startswith(b"//"):
-            replay.take(number, line)
-    return Replayed(
+            replay.replay_line(number, line)
+    return ReplayResult(
         n_runs=len(replay.runs),
         n_steps=replay.n_steps,
-        differences=(*replay.found, *replay.promises.differences()),
+        differences=(*replay.differences, *replay.invariants.differences()),
     )
 
 
 class _Replay:
     def __init__(self) -> None:
         self.runs: dict[str, _Run] = {}
-        self.promises = Promises()
-        self.found: list[Difference] = []
+        self.invariants = InvariantChecker()
+        self.differences: list[Difference] = []
         self.n_steps = 0
 
-    def take(self, number: int, data: bytes) -> None:
+    def replay_line(self, number: int, data: bytes) -> None:
         """Replay one line."""
         try:
             line = msgspec.json.decode(data, type=TraceLine)
-            self._take(number, line)
+            self._replay_line(number, line)
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
             got = f"{type(exc).__name__}: {exc}"
-            self.found.append(Difference(number, "", "a readable line", got))
+            self.differences.append(Difference(number, "", "a readable line", got))
 
-    def _take(self, number: int, line: TraceLine) -> None:
+    def _replay_line(self, number: int, line: TraceLine) -> None:
         if line.machine:
             machine = MACHINES[line.machine]
             arguments = [
@@ -112,20 +112,20 @@
         self, number: int, line: TraceLine, run: _Run, event: Any, actions: tuple
     ) -> None:
         run.actions += [type(action).__name__ for action in actions]
-        self.promises.note(line.run, run.subject, event, actions)
-        got = [with_type(action) for action in actions]
-        if not same_actions(run.machine, line.actions, actions):
+        self.invariants.record_step(line.run, run.subject, event, actions)
+        got = [encode_with_type(action) for action in actions]
+        if not actions_match(run.machine, line.actions, actions):
             stated = msgspec.json.encode(line.actions).decode()
             shown = msgspec.json.encode(got).decode()
-            self.found.append(Difference(number, line.run, stated, shown))
+            self.differences.append(Difference(number, line.run, stated, shown))
 
     def _check_outcome(self, number: int, name: str, outcome: Outcome) -> None:
         actions = self.runs[name].actions
-        answers = [action for action in actions if action in ANSWERS]
+        answers = [action for action in actions if action in ANSWER_ACTION_TYPES]
         if answers != [outcome.answer]:
             got = ", ".join(answers) or "no answer"
-            self.found.append(Difference(number, name, outcome.answer, got))
-        dispatched = sum(action in DISPATCHES for action in actions)
+            self.differences.append(Difference(number, name, outcome.answer, got))
+        dispatched = sum(action in DISPATCH_ACTION_TYPES for action in actions)
         if outcome.dispatched not in (None, dispatched):
             stated = f"{outcome.dispatched} dispatches"
-            self.found.append(Difference(number, name, stated, str(dispatched)))
+            self.differences.append(Difference(number, name, stated, str(dispatched)))
--- a/packages/swifttide_daemon/src/swifttide_daemon/recording/_recorder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/recording/_recorder.py
@@ -4,7 +4,7 @@
 import threading
 from typing import Any
 
-from swifttide_core.replay import Machine, encode_start, encode_step
+from swifttide_core.replay import StateMachine, encode_start, encode_step
 from swifttide_daemon.store import new_id
 
 
@@ -51,7 +51,10 @@
         return self._fd >= 0
 
     def start(
-        self, machine: Machine, arguments: tuple[Any, ...], actions: tuple[Any, ...]
+        self,
+        machine: StateMachine,
+        arguments: tuple[Any, ...],
+        actions: tuple[Any, ...],
     ) -> RecordedRun:
         """Record the start of a run."""
         run = RecordedRun(self, new_id() if self.enabled else "")
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
@@ -28,7 +28,7 @@
     start_call,
     step_call,
 )
-from swifttide_core.replay import CALL
+from swifttide_core.replay import CALL_MACHINE
 from swifttide_core.retries import Retry
 from swifttide_core.verdicts import Reason, Refusal, Verdict
 from swifttide_daemon.calls import Call, Failed, Finished, RunningCall
@@ -103,7 +103,7 @@
         """Take the call to its end; the caller is answered as soon as it is known."""
         wanted = _wanted(self.permit.call)
         step = start_call(wanted)
-        self.recorded = self.recorder.start(CALL, (wanted,), step.actions)
+        self.recorded = self.recorder.start(CALL_MACHINE, (wanted,), step.actions)
         state = step.state
         actions = list(step.actions)
         while actions:
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
@@ -27,7 +27,7 @@
     start_turn,
     step_turn,
 )
-from swifttide_core.replay import TURN
+from swifttide_core.replay import TURN_MACHINE
 from swifttide_core.verdicts import Refusal, Verdict
 from swifttide_daemon.calls import Failed, Finished, RunningCall
 from swifttide_daemon.programs import (
@@ -101,7 +101,7 @@
         """Take the turn to its end."""
         known = self.book.known_rows(self.permit.call, self.turn.row_keys)
         step = start_turn(self.turn, known)
-        run = self.recorder.start(TURN, (self.turn, known), step.actions)
+        run = self.recorder.start(TURN_MACHINE, (self.turn, known), step.actions)
         state = step.state
         actions = list(step.actions)
         while actions:
--- a/tests/replay/test_replay.py
+++ b/tests/replay/test_replay.py
@@ -9,7 +9,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from swifttide_core.intents import TargetSilent, TargetUnreached, step_call
-from swifttide_core.replay import CALL, replay_lines
+from swifttide_core.replay import CALL_MACHINE, replay_lines
 from swifttide_core.replay import _replay as replay_module
 
 TRACES = Path(__file__).parent / "traces"
@@ -29,7 +29,10 @@
             event = TargetUnreached()
         return step_call(state, event)
 
-    machines = {**replay_module.MACHINES, CALL.name: replace(CALL, step=step)}
+    machines = {
+        **replay_module.MACHINES,
+        CALL_MACHINE.name: replace(CALL_MACHINE, step=step),
+    }
     monkeypatch.setattr(replay_module, "MACHINES", machines)
 
 
