--- a/packages/swifttide_core/src/swifttide_core/replay/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/__init__.py
@@ -1,9 +1,11 @@
-"""Replay of recorded traces against their stated outcomes.
+"""Replays recorded traces through the state machines of calls and turns.
 
-A daemon records what happened to calls and turns: how each began, each event that the
-core's machine was told, and what the machine asked for. Replayed, the same events must
-lead to the same actions, and over the whole trace no call may run twice and no turn
-may be answered from two chunks.
+A daemon records a trace of its calls and turns. For each of them, called a run, the
+trace holds the arguments that its state machine started with, every event that the
+machine received, and the actions that the machine returned. The replay feeds the same
+events to the installed version and reports where its actions differ from the recorded
+ones. It also checks two invariants over the whole trace: no call runs twice, and no
+turn is answered from two different chunks.
 """
 
 from swifttide_core.replay._difference import Difference
--- a/packages/swifttide_core/src/swifttide_core/replay/_action_comparison.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_action_comparison.py
@@ -1,4 +1,4 @@
-"""Comparing recorded actions with those of the installed version."""
+"""Compares recorded actions with those of the installed version."""
 
 from typing import Any
 
@@ -11,11 +11,11 @@
 def actions_match(
     machine: StateMachine, stated: tuple[dict[str, Any], ...], got: tuple[Any, ...]
 ) -> bool:
-    """Return whether actions are as recorded.
+    """Return whether the replayed actions match the recorded ones.
 
-    A member that the recording version didn't know yet counts as its default: rows
-    gain members over time, and that alone changes no decision. A recorded member that
-    the installed version no longer has is a difference.
+    Rows gain members over time, which alone changes no decision. A member that the
+    recording version didn't have is therefore taken to have its default. A recorded
+    member that the installed version no longer has is a difference.
     """
     if len(stated) != len(got):
         return False
@@ -38,7 +38,7 @@
 
 
 def _contains_members(whole: Any, part: Any) -> bool:
-    """Return whether `whole` has all members of `part`, at every depth."""
+    """Return whether `whole` has all members of `part`, compared recursively."""
     match whole, part:
         case dict(), dict():
             known = part.keys() <= whole.keys()
--- a/packages/swifttide_core/src/swifttide_core/replay/_difference.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_difference.py
@@ -1,20 +1,22 @@
-"""Something that a replay found otherwise than stated."""
+"""Difference between a trace and its replay."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Where a replay departs from its trace.
+    """One difference between a trace and its replay.
 
     Parameters
     ----------
     line : int
-        Number of the line, from 1; 0 for the whole trace.
+        Number of the line, counted from 1; 0 if the difference concerns the whole
+        trace.
     run : str
-        Call or turn that it concerns.
+        Id of the run, or of the runs or the turn that broke an invariant; empty if
+        the line can't be read.
     stated, got : str
-        What the trace says and what the replay found.
+        What the trace states or an invariant requires, and what the replay found.
     """
 
     line: int
--- a/packages/swifttide_core/src/swifttide_core/replay/_encoding.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_encoding.py
@@ -1,4 +1,4 @@
-"""Lines of a trace from what a machine was told and asked for."""
+"""Encodes starts and steps of state machines as lines of a trace."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
     arguments: tuple[Any, ...],
     actions: tuple[Any, ...],
 ) -> bytes:
-    """Return the line of a run's start."""
+    """Return the line that records the start of a run."""
     line = {
         "run": run,
         "machine": machine.name,
@@ -24,7 +24,7 @@
 
 
 def encode_step(run: str, event: Any, actions: tuple[Any, ...]) -> bytes:
-    """Return the line of one event."""
+    """Return the line that records one event and the actions that followed."""
     line = {
         "run": run,
         "event": encode_with_type(event),
@@ -34,7 +34,8 @@
 
 
 def encode_with_type(value: Any) -> dict[str, Any]:
-    """Return a data class as JSON with the name of its type."""
-    # Through JSON, so that what is compared is what a trace can hold.
+    """Return a data class instance as decoded JSON, with its class name as ``type``."""
+    # The round trip through JSON leaves only values that a trace can represent, so
+    # that recorded and replayed actions compare equal.
     members = msgspec.json.decode(msgspec.json.encode(value))
     return {"type": type(value).__name__, **members}
--- a/packages/swifttide_core/src/swifttide_core/replay/_invariants.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_invariants.py
@@ -1,4 +1,9 @@
-"""What must hold over a whole trace, whatever its lines state."""
+"""Invariants over all runs of a trace, whatever actions its lines record.
+
+A call is dispatched by at most one run, not counting runs whose target was not
+reached. A turn is always answered from the same chunk. Two runs may break an invariant
+although each of them matches its recording.
+"""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -11,14 +16,15 @@
 
 @dataclass(slots=True)
 class InvariantChecker:
-    """Follows all runs of a trace.
+    """Collects the dispatches and answers of all runs and reports broken invariants.
 
     Attributes
     ----------
     dispatched_runs : dict
-        Runs that sent a call to a target, by customer and idempotency key.
+        Ids of the runs that dispatched a call to a target, by the key of the call's
+        row (customer and idempotency key).
     chunks : dict
-        Chunks that a turn was answered from, by program and number.
+        Chunks that each turn was answered from, by program and turn number.
     """
 
     dispatched_runs: dict[str, list[str]] = field(
@@ -27,17 +33,18 @@
     chunks: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
 
     def record_step(self, run: str, subject: Any, event: Any, actions: tuple) -> None:
-        """Take in one step.
+        """Record one step of a run.
 
         Parameters
         ----------
         run : str
+            Id of the run.
         subject : IntentRow or Turn
-            What the run is about.
+            Call or turn that the run executes.
         event : object or None
-            What the machine was told.
+            Event that the state machine received; None at the start.
         actions : tuple
-            What it asked for.
+            Actions that the state machine returned.
         """
         match subject:
             case IntentRow(key=key):
@@ -48,14 +55,16 @@
                         self.chunks[f"{program.key}#{action.number}"].add(action.chunk)
 
     def differences(self) -> list[Difference]:
-        """Return the promises that were broken."""
+        """Return one difference for each call or turn that breaks an invariant."""
         found = [
             Difference(0, ", ".join(runs), f"{key} runs at most once", str(len(runs)))
             for key, runs in self.dispatched_runs.items()
             if len(runs) > 1
         ]
         return found + [
-            Difference(0, turn, "one chunk", ", ".join(sorted(chunks)))
+            Difference(
+                0, turn, "turn answered from one chunk", ", ".join(sorted(chunks))
+            )
             for turn, chunks in self.chunks.items()
             if len(chunks) > 1
         ]
--- a/packages/swifttide_core/src/swifttide_core/replay/_machine.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_machine.py
@@ -1,4 +1,4 @@
-"""The state machines of the core that traces are recorded of."""
+"""State machines whose runs can be recorded and replayed."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -23,18 +23,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StateMachine:
-    """A machine, and how its arguments and events are decoded.
+    """A state machine and the types that decode its arguments, events and actions.
 
     Parameters
     ----------
     name : str
-        Name in traces.
+        Name of the state machine in traces.
     start, step : callable
-        As the daemon calls them.
+        Functions of the state machine. ``start`` takes the arguments of a run,
+        ``step`` a state and an event. Both return the next state and the actions.
     start_types : tuple
-        Types of the start's arguments.
+        Types of the arguments of ``start``.
     events, actions : dict of str to type
-        By the name of the type.
+        Classes of events and actions, by class name.
     """
 
     name: str
@@ -57,7 +58,7 @@
     events=_types_by_name(CallEvent),
     actions=_types_by_name(CallAction),
 )
-"""A call that may not be repeated."""
+"""State machine of a call that must run at most once."""
 
 TURN_MACHINE = StateMachine(
     name="turn",
@@ -67,6 +68,6 @@
     events=_types_by_name(TurnEvent),
     actions=_types_by_name(TurnAction),
 )
-"""A turn of a program."""
+"""State machine of a turn of a program."""
 
 MACHINES = {machine.name: machine for machine in (CALL_MACHINE, TURN_MACHINE)}
--- a/packages/swifttide_core/src/swifttide_core/replay/_replay.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_replay.py
@@ -1,4 +1,4 @@
-"""Replay of a trace."""
+"""Replays the lines of a trace and collects every difference."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -14,22 +14,22 @@
 from swifttide_core.replay._trace_line import Outcome, TraceLine
 
 DISPATCH_ACTION_TYPES = ("Dispatch", "RunModel")
-"""Types of the actions that send something to a target."""
+"""Class names of the actions that send a request to a target."""
 
 ANSWER_ACTION_TYPES = ("Reply", "Refuse", "ReplyTurn", "RefuseRequest")
-"""Types of the actions that answer the caller; a run has one."""
+"""Class names of the actions that answer the caller; each run has exactly one."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReplayResult:
-    """What a replay found.
+    """Result of a replay.
 
     Parameters
     ----------
     n_runs, n_steps : int
-        Calls and turns, and events, that were replayed.
+        Number of runs (calls and turns) and of events that were replayed.
     differences : tuple of Difference
-        Empty when everything is as stated.
+        Empty if the replay matches the trace and no invariant is broken.
     """
 
     n_runs: int
@@ -39,6 +39,8 @@
 
 @dataclass(slots=True)
 class _Run:
+    """State of one run, with the class names of all its actions so far."""
+
     machine: StateMachine
     subject: Any
     state: Any
@@ -51,13 +53,14 @@
     Parameters
     ----------
     lines : iterable of bytes
-        JSON lines; empty ones and those that start with ``//`` are left out.
+        JSON lines. Empty lines and lines that start with ``//`` are skipped.
 
     Returns
     -------
     ReplayResult
-        Every difference: actions other than recorded, outcomes other than stated,
-        promises broken over the whole trace, lines that can't be read.
+        All differences: actions that differ from the recorded ones, outcomes that
+        differ from the expected ones, invariants broken over the whole trace, and
+        lines that can't be read.
     """
     replay = _Replay()
     for number, line in enumerate(lines, 1):
@@ -71,6 +74,8 @@
 
 
 class _Replay:
+    """State of a replay: the runs so far and the differences found."""
+
     def __init__(self) -> None:
         self.runs: dict[str, _Run] = {}
         self.invariants = InvariantChecker()
@@ -78,13 +83,13 @@
         self.n_steps = 0
 
     def replay_line(self, number: int, data: bytes) -> None:
-        """Replay one line."""
+        """Replay one line and report it as a difference if it can't be read."""
         try:
             line = msgspec.json.decode(data, type=TraceLine)
             self._replay_line(number, line)
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
             got = f"{type(exc).__name__}: {exc}"
-            self.differences.append(Difference(number, "", "a readable line", got))
+            self.differences.append(Difference(number, "", "a valid trace line", got))
 
     def _replay_line(self, number: int, line: TraceLine) -> None:
         if line.machine:
--- a/packages/swifttide_core/src/swifttide_core/replay/_trace_line.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_trace_line.py
@@ -1,4 +1,4 @@
-"""A line of a trace."""
+"""Format of one line of a trace."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a person states of a run, besides its recorded actions.
+    """Expected outcome of a run, added to the trace by hand.
 
     Parameters
     ----------
@@ -14,7 +14,7 @@
         Type of the action that answered the caller: ``Reply`` or ``Refuse`` of a
         call, ``ReplyTurn`` or ``RefuseRequest`` of a turn.
     dispatched : int or None
-        How often the call went out to a target; None where nothing is stated.
+        How often the run sent a request to a target; None if this isn't checked.
     """
 
     answer: str
@@ -23,22 +23,26 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceLine:
-    """The start of a run, one event of it, or its stated outcome.
+    """Start of a run, one event of a run, or its expected outcome.
+
+    A run is one call or one turn. Which of the three a line states depends on the
+    fields that are set.
 
     Parameters
     ----------
     run : str
-        Id of the run; runs of one trace may interleave.
+        Id of the run. Lines of different runs may interleave.
     machine : str
-        Name of the machine, at the start.
+        Name of the state machine, ``call`` or ``turn``; set only at the start of a
+        run.
     start : list or None
-        Arguments of the start.
+        Arguments that the state machine started with.
     event : dict or None
-        Event with its ``type``.
+        Event that the state machine received; ``type`` names its class.
     actions : list of dict
-        What the machine asked for, with their types.
+        Actions that the state machine returned; ``type`` names the class of each.
     outcome : Outcome or None
-        Stated outcome.
+        Expected outcome of the run.
     """
 
     run: str
--- a/packages/swifttide_core/src/swifttide_core/replay/tests/test_replay.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Replay of traces, and what it notices."""
+"""Tests of the replay of traces and of the differences that it reports."""
 
 import json
 
@@ -18,7 +18,7 @@
 
 
 def record_call(run, events, wanted=None):
-    """Record a call that is told these events."""
+    """Return the trace of a call whose state machine receives these events."""
     wanted = wanted or IntentRow("club", "fee-1", attempt=run, path="charge")
     step = start_call(wanted)
     lines = [encode_start(CALL_MACHINE, run, (wanted,), step.actions)]
@@ -41,21 +41,22 @@
 
 
 class TestReplayLines:
-    def test_trace_as_recorded(self):
+    def test_unchanged_trace_has_no_differences(self):
         found = replay_lines(record_call("a", EVENTS_OF_ONE_RUN))
         assert found.differences == ()
         assert (found.n_runs, found.n_steps) == (1, 4)
 
-    def test_stated_outcome(self):
+    def test_outcome_is_compared_with_the_actions(self):
         lines = record_call("a", EVENTS_OF_ONE_RUN)
         right = outcome_line("a", answer="Reply", dispatched=1)
         assert replay_lines([*lines, right]).differences == ()
         wrong = outcome_line("a", answer="Refuse", dispatched=0)
         assert len(replay_lines([*lines, wrong]).differences) == 2
 
-    def test_action_that_changed(self):
-        """A new version sends a call although its journal row couldn't be written.
-        Replaying what an older one recorded must show it.
+    def test_changed_action_is_reported(self):
+        """Guards against a version that dispatches a call without its journal row.
+
+        The replay of a trace that an older version recorded must show the difference.
         """
         lines = record_call("a", EVENTS_OF_ONE_RUN)
         changed = json.loads(lines[1])
@@ -65,8 +66,8 @@
         assert (found.line, found.run) == (2, "a")
         assert "WriteRow" in found.got
 
-    def test_member_that_the_recording_did_not_know(self):
-        """Rows gain members over time. A trace from before must stay replayable."""
+    def test_member_missing_in_the_recording_counts_as_default(self):
+        """Rows gain members over time. Older traces must remain replayable."""
         lines = record_call("a", EVENTS_OF_ONE_RUN)
         older = json.loads(lines[1])
         del older["actions"][0]["row"]["content_type"]
@@ -76,16 +77,17 @@
     @pytest.mark.parametrize(
         "members", [{"gone": 1}, {"state": "done"}, {"answer": "x"}, {"version": "1"}]
     )
-    def test_member_that_is_otherwise(self, members):
+    def test_different_member_is_reported(self, members):
         lines = record_call("a", EVENTS_OF_ONE_RUN)
         changed = json.loads(lines[1])
         changed["actions"][0]["row"] |= members
         lines[1] = json.dumps(changed).encode()
         assert [d.line for d in replay_lines(lines).differences] == [2]
 
-    def test_call_that_runs_twice(self):
-        """Two hosts each believe that the journal row is theirs: a club pays twice.
-        Each run alone is as stated, only the whole trace shows it.
+    def test_call_that_runs_twice_is_reported(self):
+        """Guards against two hosts that both dispatch a call, so that it is paid twice.
+
+        Each run matches its recording. Only the whole trace shows the fault.
         """
         lines = record_call("a", EVENTS_OF_ONE_RUN) + record_call(
             "b", EVENTS_OF_ONE_RUN
@@ -93,7 +95,7 @@
         (found,) = replay_lines(lines).differences
         assert "at most once" in found.stated
 
-    def test_call_that_went_out_and_got_lost_may_not_go_out_again(self):
+    def test_call_with_lost_answer_must_not_be_dispatched_again(self):
         lost = (RowRead(None), RowWritten(1), TargetSilent())
         assert (
             len(
@@ -104,7 +106,7 @@
             == 1
         )
 
-    def test_call_that_never_went_out_may_go_out_again(self):
+    def test_call_that_did_not_reach_its_target_may_be_dispatched_again(self):
         unreached = (RowRead(None), RowWritten(1), TargetUnreached())
         lines = record_call("a", unreached) + record_call("b", EVENTS_OF_ONE_RUN)
         assert replay_lines(lines).differences == ()
@@ -123,12 +125,12 @@
             b'{"run": "unknown", "outcome": {"answer": "Reply"}}',
         ],
     )
-    def test_line_that_can_not_be_read(self, line):
+    def test_invalid_line_is_reported(self, line):
         found = replay_lines([*record_call("a", EVENTS_OF_ONE_RUN), line])
         assert len(found.differences) == 1
         assert found.differences[0].line == 6
 
-    def test_comments_and_empty_lines(self):
+    def test_comments_and_empty_lines_are_skipped(self):
         lines = [
             b"// from a run with lost answers\n",
             b"\n",
