--- a/packages/swifttide_core/src/swifttide_core/checks/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/checks/__init__.py
@@ -1,6 +1,6 @@
 """Strict decoding and range checks that report every error at once."""
 
-from swifttide_core.checks._decoding import decode_fields, show
+from swifttide_core.checks._decoding import decode_fields, format_value
 from swifttide_core.checks._field_error import FieldError
 from swifttide_core.checks._json_text import load_json_with_comments
 from swifttide_core.checks._ranges import (
@@ -23,6 +23,6 @@
     "check_one_of",
     "check_url_by_ip",
     "decode_fields",
+    "format_value",
     "load_json_with_comments",
-    "show",
 ]
--- a/packages/swifttide_core/src/swifttide_core/checks/_decoding.py
+++ b/packages/swifttide_core/src/swifttide_core/checks/_decoding.py
@@ -16,7 +16,7 @@
 
 from swifttide_core.checks._field_error import FieldError
 
-_LONGEST_SHOWN = 60
+_MAX_VALUE_CHARACTERS = 60
 """Characters of a wrong value that a message repeats."""
 
 _MISSING = "nothing"
@@ -43,15 +43,15 @@
         a default, wrong types.
     """
     if not isinstance(raw, dict):
-        return Error((FieldError(path, show(raw), "an object"),))
+        return Error((FieldError(path, format_value(raw), "an object"),))
     hints = typing.get_type_hints(cls)
     fields = {f.name: f for f in dataclasses.fields(cls)}
-    errors = _unknown_members(raw, fields, path)
+    errors = _find_unknown_members(raw, fields, path)
     values: dict[str, Any] = {}
     for name, field in fields.items():
-        place = join(path, name)
+        place = join_path(path, name)
         if name not in raw:
-            errors += _missing_member(field, hints[name], place)
+            errors += _check_missing_member(field, hints[name], place)
             continue
         match _decode_value(hints[name], raw[name], place):
             case Result(tag="ok", ok=value):
@@ -61,20 +61,20 @@
     return Error(tuple(errors)) if errors else Ok(cls(**values))
 
 
-def join(path: str, name: str) -> str:
+def join_path(path: str, name: str) -> str:
     """Return the path of a member."""
     return f"{path}.{name}" if path else name
 
 
-def show(value: Any) -> str:
+def format_value(value: Any) -> str:
     """Return a value as short JSON for a message."""
     text = json.dumps(value, default=str)
-    if len(text) <= _LONGEST_SHOWN:
+    if len(text) <= _MAX_VALUE_CHARACTERS:
         return text
-    return f"{text[:_LONGEST_SHOWN]}..."
+    return f"{text[:_MAX_VALUE_CHARACTERS]}..."
 
 
-def show_hidden(value: Any) -> str:
+def describe_secret(value: Any) -> str:
     """Return the outline of a value that may be a key, for a message.
 
     An operator who pastes a key where its hash belongs would otherwise find the key
@@ -85,24 +85,28 @@
     return f"a {type(value).__name__}"
 
 
-def _unknown_members(raw: dict, fields: dict, path: str) -> list[FieldError]:
+def _find_unknown_members(raw: dict, fields: dict, path: str) -> list[FieldError]:
     return [
-        FieldError(join(path, str(name)), "an unknown member", _closest(name, fields))
+        FieldError(
+            join_path(path, str(name)),
+            "an unknown member",
+            _suggest_member(name, fields),
+        )
         for name in raw
         if name not in fields
     ]
 
 
-def _closest(name: str, fields: dict) -> str:
+def _suggest_member(name: str, fields: dict) -> str:
     close = difflib.get_close_matches(str(name), fields, n=1)
     return f'a known member, perhaps "{close[0]}"' if close else "a known member"
 
 
-def _missing_member(field: Any, hint: Any, place: str) -> list[FieldError]:
+def _check_missing_member(field: Any, hint: Any, place: str) -> list[FieldError]:
     no_default = field.default is dataclasses.MISSING
     no_factory = field.default_factory is dataclasses.MISSING
     if no_default and no_factory:
-        return [FieldError(place, _MISSING, _describe(hint))]
+        return [FieldError(place, _MISSING, _describe_type(hint))]
     return []
 
 
@@ -115,11 +119,11 @@
         return Ok(msgspec.convert(raw, hint, strict=True))
     except msgspec.ValidationError:
         hidden = place.rsplit(".", 1)[-1].startswith(("key", "operator_key"))
-        got = show_hidden(raw) if hidden else show(raw)
-        return Error((FieldError(place, got, _describe(hint)),))
+        got = describe_secret(raw) if hidden else format_value(raw)
+        return Error((FieldError(place, got, _describe_type(hint)),))
 
 
-def _describe(hint: Any) -> str:
+def _describe_type(hint: Any) -> str:
     """Return a type in the words of JSON."""
     names = {str: "a string", int: "a whole number", float: "a number"}
     names[bool] = "true or false"
@@ -131,5 +135,5 @@
         return "one of " + ", ".join(json.dumps(str(m)) for m in hint)
     if dataclasses.is_dataclass(hint):
         return "an object"
-    parts = [_describe(a) for a in typing.get_args(hint) if a is not type(None)]
+    parts = [_describe_type(a) for a in typing.get_args(hint) if a is not type(None)]
     return " or ".join([*parts, "null"])
--- a/packages/swifttide_core/src/swifttide_core/checks/_json_text.py
+++ b/packages/swifttide_core/src/swifttide_core/checks/_json_text.py
@@ -7,7 +7,7 @@
 
 from swifttide_core.checks._field_error import FieldError
 
-_WHAT = "JSON with comments"
+_EXPECTED_FORMAT = "JSON with comments"
 
 
 class _DuplicateMember(ValueError):
@@ -38,17 +38,19 @@
         return Ok(
             jsonc.loads(
                 text,
-                object_pairs_hook=_unique_members,
-                parse_constant=_refuse_constant,
+                object_pairs_hook=_reject_duplicate_members,
+                parse_constant=_reject_constant,
             )
         )
     except _DuplicateMember as exc:
         return Error((FieldError("", str(exc), "each member once"),))
     except (ValueError, RecursionError) as exc:
-        return Error((FieldError("", f"text that can't be read ({exc})", _WHAT),))
+        return Error(
+            (FieldError("", f"text that can't be read ({exc})", _EXPECTED_FORMAT),)
+        )
 
 
-def _unique_members(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_members(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     found: dict[str, Any] = {}
     for name, value in pairs:
         if name in found:
@@ -57,5 +59,5 @@
     return found
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f"{name} is no JSON number")
--- a/packages/swifttide_core/src/swifttide_core/checks/_ranges.py
+++ b/packages/swifttide_core/src/swifttide_core/checks/_ranges.py
@@ -6,7 +6,7 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-from swifttide_core.checks._decoding import show, show_hidden
+from swifttide_core.checks._decoding import describe_secret, format_value
 from swifttide_core.checks._field_error import FieldError
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
@@ -19,7 +19,9 @@
     """Check that ``low <= value <= high``; NaN fails."""
     if low <= value <= high:
         return ()
-    return (FieldError(path, show(value), f"a number from {low:g} to {high:g}"),)
+    return (
+        FieldError(path, format_value(value), f"a number from {low:g} to {high:g}"),
+    )
 
 
 def check_name(path: str, value: str) -> tuple[FieldError, ...]:
@@ -31,7 +33,7 @@
     if _NAME.fullmatch(value):
         return ()
     expected = "1 to 128 letters, digits, '.', '_' or '-', not starting with a sign"
-    return (FieldError(path, show(value), expected),)
+    return (FieldError(path, format_value(value), expected),)
 
 
 def check_one_of(
@@ -41,8 +43,8 @@
     allowed = tuple(allowed)
     if value in allowed:
         return ()
-    listed = ", ".join(show(a) for a in allowed)
-    return (FieldError(path, show(value), f"one of {listed}"),)
+    listed = ", ".join(format_value(a) for a in allowed)
+    return (FieldError(path, format_value(value), f"one of {listed}"),)
 
 
 def check_ip_address(path: str, value: str) -> tuple[FieldError, ...]:
@@ -50,7 +52,7 @@
     try:
         ipaddress.ip_address(value)
     except ValueError:
-        return (FieldError(path, show(value), "an IP number"),)
+        return (FieldError(path, format_value(value), "an IP number"),)
     return ()
 
 
@@ -59,7 +61,7 @@
     if _KEY_HASH.fullmatch(value):
         return ()
     expected = "the SHA-256 of a key, 64 lower-case hex digits"
-    return (FieldError(path, show_hidden(value), expected),)
+    return (FieldError(path, describe_secret(value), expected),)
 
 
 def check_url_by_ip(path: str, value: str) -> tuple[FieldError, ...]:
@@ -69,7 +71,7 @@
     every request, and a password in them would end up in logs.
     """
     expected = "a URL such as http://10.0.0.7:8000, by IP number"
-    error = (FieldError(path, show(_without_user(value)), expected),)
+    error = (FieldError(path, format_value(_redact_credentials(value)), expected),)
     try:
         parts = urlsplit(value)
         port = parts.port
@@ -99,5 +101,5 @@
     return tuple(errors)
 
 
-def _without_user(url: str) -> str:
+def _redact_credentials(url: str) -> str:
     return re.sub(r"//[^/@]*@", "//...@", url)
--- a/packages/swifttide_core/src/swifttide_core/documents/_check_document.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/_check_document.py
@@ -16,7 +16,7 @@
     check_name,
     check_url_by_ip,
     decode_fields,
-    show,
+    format_value,
 )
 from swifttide_core.documents._customer import Customer
 from swifttide_core.documents._document_kind import DocumentKind
@@ -66,7 +66,7 @@
     """
     if kind not in _CLASSES:
         expected = "one of " + ", ".join(DocumentKind)
-        return Error((FieldError("kind", show(str(kind)), expected),))
+        return Error((FieldError("kind", format_value(str(kind)), expected),))
     decoded = decode_fields(_CLASSES[DocumentKind(kind)], raw)
     return decoded.bind(_check_ranges)
 
@@ -133,7 +133,7 @@
     printable = rest.isascii() and rest.isprintable() and " " not in rest
     if not check_name(path, service) and printable and not rest.startswith("/"):
         return ()
-    return (FieldError(path, show(value), 'a "service/path" prefix'),)
+    return (FieldError(path, format_value(value), 'a "service/path" prefix'),)
 
 
 def _check_customer(doc: Customer) -> tuple[FieldError, ...]:
@@ -147,7 +147,7 @@
 def _check_key(doc: KeyGrant) -> tuple[FieldError, ...]:
     errors = check_key_hash("key_hash", doc.key_hash)
     if doc.operator and doc.customer:
-        got = show(doc.customer)
+        got = format_value(doc.customer)
         return (*errors, FieldError("customer", got, "nothing for an operator's key"))
     if doc.operator:
         return errors
--- a/packages/swifttide_daemon/src/swifttide_daemon/settings/_checks.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/settings/_checks.py
@@ -11,7 +11,7 @@
     check_name,
     check_one_of,
     check_url_by_ip,
-    show,
+    format_value,
 )
 from swifttide_daemon.settings._lease_settings import LeaseSettings
 from swifttide_daemon.settings._limit_settings import MIB, LimitSettings
@@ -62,7 +62,7 @@
 def _check_file_name(path: str, value: str) -> tuple[FieldError, ...]:
     if value and "\0" not in value:
         return ()
-    return (FieldError(path, show(value), "the name of a file"),)
+    return (FieldError(path, format_value(value), "the name of a file"),)
 
 
 def _check_advertised(address: str) -> tuple[FieldError, ...]:
@@ -75,7 +75,7 @@
     errors = check_ip_address(path, address)
     if not errors and address in ("0.0.0.0", "::"):
         expected = "an IP number that peers can reach"
-        return (FieldError(path, show(address), expected),)
+        return (FieldError(path, format_value(address), expected),)
     return errors
 
 
