--- a/packages/swifttide_core/src/swifttide_core/checks/__init__.py
+++ b/packages/swifttide_core/src/swifttide_core/checks/__init__.py
@@ -1,4 +1,8 @@
-"""Strict decoding and range checks that report every error at once."""
+"""Strict decoding and value checks of settings files and documents.
+
+The checks return their errors instead of raising, so that all errors of a file can be
+reported at once.
+"""
 
 from swifttide_core.checks._decoding import decode_fields, format_value
 from swifttide_core.checks._field_error import FieldError
--- a/packages/swifttide_core/src/swifttide_core/checks/_decoding.py
+++ b/packages/swifttide_core/src/swifttide_core/checks/_decoding.py
@@ -1,8 +1,8 @@
-"""Strict decoding of JSON into frozen data classes, with all errors at once.
+"""Strict decoding of JSON into frozen data classes that reports all errors at once.
 
-msgspec stops at the first wrong value. An operator who mends a file one error at a
-time restarts the command as often as there are errors, so each field is converted on
-its own here and the errors are gathered.
+msgspec stops at the first invalid value. An operator would have to run the command
+again after each error that was fixed. Each field is therefore converted separately and
+the errors are collected.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 from swifttide_core.checks._field_error import FieldError
 
 _MAX_VALUE_CHARACTERS = 60
-"""Characters of a wrong value that a message repeats."""
+"""Maximum number of characters of an invalid value in an error message."""
 
 _MISSING = "nothing"
 
@@ -34,13 +34,13 @@
     raw : object
         Decoded JSON.
     path : str
-        Place of ``raw`` in its file, for messages.
+        Path of ``raw`` in its file, for error messages.
 
     Returns
     -------
     Result
-        The instance, or every `FieldError`: unknown members, missing ones without
-        a default, wrong types.
+        The instance, or all errors as `FieldError`: unknown members, missing members
+        without a default and values of the wrong type.
     """
     if not isinstance(raw, dict):
         return Error((FieldError(path, format_value(raw), "an object"),))
@@ -62,12 +62,12 @@
 
 
 def join_path(path: str, name: str) -> str:
-    """Return the path of a member."""
+    """Return the path of member `name` of the object at `path`."""
     return f"{path}.{name}" if path else name
 
 
 def format_value(value: Any) -> str:
-    """Return a value as short JSON for a message."""
+    """Return a value as JSON, truncated for an error message."""
     text = json.dumps(value, default=str)
     if len(text) <= _MAX_VALUE_CHARACTERS:
         return text
@@ -75,10 +75,10 @@
 
 
 def describe_secret(value: Any) -> str:
-    """Return the outline of a value that may be a key, for a message.
+    """Describe a value that may be a secret key by its type and length only.
 
-    An operator who pastes a key where its hash belongs would otherwise find the key
-    in the terminal's log and in the daemon's.
+    If an operator enters a key instead of its hash, the error message must not write
+    the key to the terminal or to the daemon's log.
     """
     if isinstance(value, str):
         return f"a string of {len(value)} characters"
@@ -124,7 +124,7 @@
 
 
 def _describe_type(hint: Any) -> str:
-    """Return a type in the words of JSON."""
+    """Describe the JSON values that are valid for a type."""
     names = {str: "a string", int: "a whole number", float: "a number"}
     names[bool] = "true or false"
     if hint in names:
--- a/packages/swifttide_core/src/swifttide_core/checks/_field_error.py
+++ b/packages/swifttide_core/src/swifttide_core/checks/_field_error.py
@@ -1,21 +1,22 @@
-"""One wrong value in a settings file or document."""
+"""Error in one value of a settings file or document."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class FieldError:
-    """Where a value is wrong, what stands there and what would be right.
+    """Place of an invalid value, the value found and what is valid there.
 
     Parameters
     ----------
     path : str
-        Place in the file, such as ``lease.renew_seconds`` or ``customers[2]``;
-        empty for the whole file.
+        Path of the value in the file, such as ``lease.renew_seconds`` or
+        ``customers[2]``; empty for the whole file.
     got : str
-        The value as JSON, cut short; never the value of a field for keys.
+        The value as truncated JSON, or a description of it. Values of fields that may
+        hold a secret key are never included.
     expected : str
-        What would be accepted, in words.
+        Description of the valid values.
     """
 
     path: str
--- a/packages/swifttide_core/src/swifttide_core/checks/_json_text.py
+++ b/packages/swifttide_core/src/swifttide_core/checks/_json_text.py
@@ -1,4 +1,4 @@
-"""JSON with comments, read strictly."""
+"""Strict parser of JSON with comments."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 class _DuplicateMember(ValueError):
-    """A member that stands twice in an object."""
+    """An object has two members of the same name."""
 
 
 def load_json_with_comments(text: str) -> Result[Any, tuple[FieldError, ...]]:
@@ -25,14 +25,15 @@
     Returns
     -------
     Result
-        The decoded JSON, or one `FieldError` that gives line and column.
+        The decoded JSON, or one `FieldError`. For a syntax error it states
+        the line and column.
 
     Notes
     -----
-    A member that stands twice is an error: of two values the parser would take the
-    last without a word, and an operator who edited the first would see no effect.
-    Numbers that JSON doesn't know (``NaN``, ``Infinity``) are errors too, since
-    they compare as false with every limit.
+    Duplicate members are errors. The parser would silently take the last of the
+    values, and an operator who edits the first would see no effect. ``NaN`` and
+    ``Infinity``, which are not valid in JSON, are errors too, because range checks
+    don't work with them: every comparison with ``NaN`` is false.
     """
     try:
         return Ok(
@@ -43,7 +44,7 @@
             )
         )
     except _DuplicateMember as exc:
-        return Error((FieldError("", str(exc), "each member once"),))
+        return Error((FieldError("", str(exc), "unique member names"),))
     except (ValueError, RecursionError) as exc:
         return Error(
             (FieldError("", f"text that can't be read ({exc})", _EXPECTED_FORMAT),)
@@ -54,10 +55,10 @@
     found: dict[str, Any] = {}
     for name, value in pairs:
         if name in found:
-            raise _DuplicateMember(f'"{name}" twice in one object')
+            raise _DuplicateMember(f'"{name}" as a duplicate member of an object')
         found[name] = value
     return found
 
 
 def _reject_constant(name: str) -> None:
-    raise ValueError(f"{name} is no JSON number")
+    raise ValueError(f"{name} is not a JSON number")
--- a/packages/swifttide_core/src/swifttide_core/checks/_ranges.py
+++ b/packages/swifttide_core/src/swifttide_core/checks/_ranges.py
@@ -1,4 +1,4 @@
-"""Checks of decoded values; each returns its errors instead of raising."""
+"""Checks of decoded values. Each check returns its errors instead of raising."""
 
 import ipaddress
 import re
@@ -25,21 +25,23 @@
 
 
 def check_name(path: str, value: str) -> tuple[FieldError, ...]:
-    """Check an id of a host, zone, customer, target or profile.
+    """Check the name of a host, zone, customer, target or profile.
 
-    Ids become parts of URLs, headers and keys of rows. One with a slash or a line
-    break in it would name another row, or add a header of its own to a request.
+    Names become parts of URLs, headers and row keys. A name with a slash could refer
+    to another row, and one with a line break could add a header to a request.
     """
     if _NAME.fullmatch(value):
         return ()
-    expected = "1 to 128 letters, digits, '.', '_' or '-', not starting with a sign"
+    expected = (
+        "1 to 128 letters, digits, '.', '_' or '-', starting with a letter or digit"
+    )
     return (FieldError(path, format_value(value), expected),)
 
 
 def check_one_of(
     path: str, value: str, allowed: Iterable[str]
 ) -> tuple[FieldError, ...]:
-    """Check that a value is one of a few."""
+    """Check that a value is one of the allowed values."""
     allowed = tuple(allowed)
     if value in allowed:
         return ()
@@ -48,16 +50,19 @@
 
 
 def check_ip_address(path: str, value: str) -> tuple[FieldError, ...]:
-    """Check an IP number; processes talk by number, not by host name."""
+    """Check an IP address. Processes connect by IP address, not by host name."""
     try:
         ipaddress.ip_address(value)
     except ValueError:
-        return (FieldError(path, format_value(value), "an IP number"),)
+        return (FieldError(path, format_value(value), "an IP address"),)
     return ()
 
 
 def check_key_hash(path: str, value: str) -> tuple[FieldError, ...]:
-    """Check the SHA-256 of a key in lower-case hex; never repeats the value."""
+    """Check the SHA-256 hash of a key in lower-case hex.
+
+    The error never contains the value, which may be the key itself.
+    """
     if _KEY_HASH.fullmatch(value):
         return ()
     expected = "the SHA-256 of a key, 64 lower-case hex digits"
@@ -65,12 +70,12 @@
 
 
 def check_url_by_ip(path: str, value: str) -> tuple[FieldError, ...]:
-    """Check a base URL such as ``http://10.0.0.7:8000``.
+    """Check a base URL with an IP address, such as ``http://10.0.0.7:8000``.
 
-    User, query and fragment are refused: they would be joined with the path of
-    every request, and a password in them would end up in logs.
+    User, password, query and fragment are rejected. They would be joined with the
+    path of every request, and a password would appear in logs.
     """
-    expected = "a URL such as http://10.0.0.7:8000, by IP number"
+    expected = "a URL with an IP address, such as http://10.0.0.7:8000"
     error = (FieldError(path, format_value(_redact_credentials(value)), expected),)
     try:
         parts = urlsplit(value)
@@ -89,14 +94,14 @@
     values: Iterable[Any],
     check: Callable[[str, Any], tuple[FieldError, ...]],
 ) -> tuple[FieldError, ...]:
-    """Check every item of an array, and that none stands twice."""
+    """Check every item of an array, and that no item occurs twice."""
     errors: list[FieldError] = []
     seen = set()
     for i, value in enumerate(values):
         place = f"{path}[{i}]"
         errors += check(place, value)
         if value in seen:
-            errors.append(FieldError(place, "an item again", "each item once"))
+            errors.append(FieldError(place, "a duplicate item", "unique items"))
         seen.add(value)
     return tuple(errors)
 
