--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
@@ -26,7 +26,7 @@
     ListedPrograms,
 )
 from swifttide_daemon.store import Transaction
-from swifttide_daemon.strikes import StrikeService, strike_of
+from swifttide_daemon.strikes import StrikeService, decode_strike
 from swifttide_daemon.targets import (
     AcquireRequest,
     GrantBook,
@@ -174,7 +174,7 @@
 
     def standing(self, req: Request, fingerprint: str) -> Response:
         """Say whether a request is put aside."""
-        refusal = self.strikes.standing(fingerprint)
+        refusal = self.strikes.check_local(fingerprint)
         return Response.from_json(
             {
                 "refused": refusal is not None,
@@ -189,9 +189,9 @@
                 raw = _decode(req, dict[str, Any])
                 if raw.is_error():
                     return Response.from_refusal(raw.error)
-                self.strikes.note(strike_of(raw.ok))
+                self.strikes.record_strike(decode_strike(raw.ok))
             case "ran":
-                self.strikes.note_ran(fingerprint)
+                self.strikes.record_success(fingerprint)
             case _:
                 return _bad(f"got verb {verb!r}")
         return Response.from_json({})
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_generator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_generator.py
@@ -74,7 +74,7 @@
         n_tries = 0
         may_have_run = False
         while True:
-            put_aside = self.strikes.check(prompt.fingerprint)
+            put_aside = self.strikes.check_request(prompt.fingerprint)
             if put_aside is not None:
                 return Error(put_aside.with_earlier_attempts(may_have_run))
             n_tries += 1
@@ -234,7 +234,7 @@
         self.placer.finish(placement, outcome, ok=True)
         profile = permit.profile.name
         self.estimates.observe_output(profile, usage.completion_tokens)
-        self.strikes.ran(prompt.fingerprint)
+        self.strikes.report_success(prompt.fingerprint)
         metrics = self.telemetry.metrics
         if clock.first_at is not None:
             metrics.observe_first_token(clock.first_at - permit.started_at)
--- a/packages/swifttide_daemon/src/swifttide_daemon/strikes/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/strikes/__init__.py
@@ -1,5 +1,5 @@
 """Requests that crash their targets."""
 
-from swifttide_daemon.strikes._strike_service import StrikeService, strike_of
+from swifttide_daemon.strikes._strike_service import StrikeService, decode_strike
 
-__all__ = ["StrikeService", "strike_of"]
+__all__ = ["StrikeService", "decode_strike"]
--- a/packages/swifttide_daemon/src/swifttide_daemon/strikes/_strike_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/strikes/_strike_service.py
@@ -24,10 +24,10 @@
     def __init__(self, membership: MembershipService, peers: PeerClient) -> None:
         self.membership = membership
         self.peers = peers
-        self._book = StrikeTracker()
+        self._tracker = StrikeTracker()
         self._lock = threading.Lock()
 
-    def check(self, fingerprint: str) -> Refusal | None:
+    def check_request(self, fingerprint: str) -> Refusal | None:
         """Return why a request is put aside, or None.
 
         A holder that can't be reached refuses nobody: a request that crashes targets
@@ -37,42 +37,42 @@
         if holder is None:
             return None
         if holder.host == self.membership.me.host:
-            return self.standing(fingerprint)
+            return self.check_local(fingerprint)
         answer = self.peers.call(
             holder.peer_url, "GET", f"/peer/v1/fingerprints/{fingerprint}"
         )
         if answer.is_error() or not answer.ok["refused"]:
             return None
-        return _refusal(answer.ok["refused_seconds"])
+        return _make_refusal(answer.ok["refused_seconds"])
 
     def report(self, strike: Strike) -> None:
         """Tell the holder that a request's target died under it."""
-        self._tell(strike.fingerprint, "strike", strike)
+        self._notify_holder(strike.fingerprint, "strike", strike)
 
-    def ran(self, fingerprint: str) -> None:
+    def report_success(self, fingerprint: str) -> None:
         """Tell the holder that a suspected request ran to its end."""
-        self._tell(fingerprint, "ran", {})
+        self._notify_holder(fingerprint, "ran", {})
 
-    def standing(self, fingerprint: str) -> Refusal | None:
+    def check_local(self, fingerprint: str) -> Refusal | None:
         """Answer from the own book."""
         with self._lock:
-            match self._book.status_of(time.monotonic(), fingerprint):
+            match self._tracker.status_of(time.monotonic(), fingerprint):
                 case Refused(seconds):
-                    return _refusal(seconds)
+                    return _make_refusal(seconds)
                 case Clear() | Suspect():
                     return None
 
-    def note(self, strike: Strike) -> None:
+    def record_strike(self, strike: Strike) -> None:
         """Write a strike into the own book."""
         with self._lock:
-            self._book.record_strike(time.monotonic(), strike)
+            self._tracker.record_strike(time.monotonic(), strike)
 
-    def note_ran(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Clear a request in the own book."""
         with self._lock:
-            self._book.record_success(time.monotonic(), fingerprint)
+            self._tracker.record_success(time.monotonic(), fingerprint)
 
-    def _tell(self, fingerprint: str, verb: str, message: object) -> None:
+    def _notify_holder(self, fingerprint: str, verb: str, message: object) -> None:
         holder = self.membership.holder(SlotKind.FINGERPRINT, fingerprint)
         if holder is None:
             return
@@ -81,17 +81,17 @@
             self.peers.call(holder.peer_url, "POST", path, message)
             return
         if isinstance(message, Strike):
-            self.note(message)
+            self.record_strike(message)
         else:
-            self.note_ran(fingerprint)
+            self.record_success(fingerprint)
 
 
-def strike_of(message: object) -> Strike:
+def decode_strike(message: object) -> Strike:
     """Decode a peer's message."""
     return msgspec.convert(message, Strike)
 
 
-def _refusal(seconds: float) -> Refusal:
+def _make_refusal(seconds: float) -> Refusal:
     return Refusal(
         Reason.CRASHES_TARGETS,
         "targets died under this request; it is put aside",
