--- a/packages/swifttide_daemon/src/swifttide_daemon/strikes/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/strikes/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that crash their targets."""
+"""Refuses requests that have crashed their targets."""
 
 from swifttide_daemon.strikes._strike_service import StrikeService, decode_strike
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/strikes/_strike_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/strikes/_strike_service.py
@@ -1,4 +1,10 @@
-"""Strikes against requests that crash their targets, at the fingerprint's holder."""
+"""Tracks requests that crash their targets and refuses them.
+
+A strike records that a target died while it ran a request. Requests are identified by
+a fingerprint. Each fingerprint belongs to a slot, and the host that holds the slot
+counts the strikes of its fingerprints. All other hosts query the holder before they run
+a request, and report strikes and successful runs to it.
+"""
 
 import threading
 import time
@@ -13,12 +19,16 @@
 
 
 class StrikeService:
-    """Asks and tells the holders of fingerprints; keeps the book of its own.
+    """Checks fingerprints and reports strikes to the hosts that hold them.
+
+    Strikes of the fingerprints that this host holds are tracked locally.
 
     Parameters
     ----------
     membership : MembershipService
+        Determines the host that holds a fingerprint.
     peers : PeerClient
+        Sends queries and reports to other hosts.
     """
 
     def __init__(self, membership: MembershipService, peers: PeerClient) -> None:
@@ -28,10 +38,10 @@
         self._lock = threading.Lock()
 
     def check_request(self, fingerprint: str) -> Refusal | None:
-        """Return why a request is put aside, or None.
+        """Return the refusal of a request with this fingerprint, or None.
 
-        A holder that can't be reached refuses nobody: a request that crashes targets
-        is rare, an unreachable holder is not.
+        If there is no holder or it can't be reached, the request is not refused.
+        Requests that crash targets are rare, but unreachable holders are not.
         """
         holder = self.membership.holder(SlotKind.FINGERPRINT, fingerprint)
         if holder is None:
@@ -46,15 +56,15 @@
         return _make_refusal(answer.ok["refused_seconds"])
 
     def report(self, strike: Strike) -> None:
-        """Tell the holder that a request's target died under it."""
+        """Report to the holder that a target died while it ran the request."""
         self._notify_holder(strike.fingerprint, "strike", strike)
 
     def report_success(self, fingerprint: str) -> None:
-        """Tell the holder that a suspected request ran to its end."""
+        """Report to the holder that a suspected request ran to completion."""
         self._notify_holder(fingerprint, "ran", {})
 
     def check_local(self, fingerprint: str) -> Refusal | None:
-        """Answer from the own book."""
+        """Return the refusal from the strikes tracked on this host, or None."""
         with self._lock:
             match self._tracker.status_of(time.monotonic(), fingerprint):
                 case Refused(seconds):
@@ -63,12 +73,12 @@
                     return None
 
     def record_strike(self, strike: Strike) -> None:
-        """Write a strike into the own book."""
+        """Add a strike to those tracked on this host."""
         with self._lock:
             self._tracker.record_strike(time.monotonic(), strike)
 
     def record_success(self, fingerprint: str) -> None:
-        """Clear a request in the own book."""
+        """Record on this host that the request ran to completion."""
         with self._lock:
             self._tracker.record_success(time.monotonic(), fingerprint)
 
@@ -87,13 +97,13 @@
 
 
 def decode_strike(message: object) -> Strike:
-    """Decode a peer's message."""
+    """Decode a strike from the JSON message of a peer."""
     return msgspec.convert(message, Strike)
 
 
 def _make_refusal(seconds: float) -> Refusal:
     return Refusal(
         Reason.CRASHES_TARGETS,
-        "targets died under this request; it is put aside",
+        "targets died while running this request; it is refused for a time",
         retry_after_seconds=seconds,
     )
