--- a/packages/swifttide_daemon/src/swifttide_daemon/recording/_recorder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/recording/_recorder.py
@@ -22,10 +22,10 @@
         self._recorder = recorder
         self._name = name
 
-    def step(self, event: Any, actions: tuple[Any, ...]) -> None:
+    def record_step(self, event: Any, actions: tuple[Any, ...]) -> None:
         """Record an event and what followed."""
         if self._recorder.enabled:
-            self._recorder.write(encode_step(self._name, event, actions))
+            self._recorder.append_line(encode_step(self._name, event, actions))
 
 
 class Recorder:
@@ -50,7 +50,7 @@
         """Whether anything is recorded."""
         return self._fd >= 0
 
-    def start(
+    def record_start(
         self,
         machine: StateMachine,
         arguments: tuple[Any, ...],
@@ -59,10 +59,10 @@
         """Record the start of a run."""
         run = RecordedRun(self, new_id() if self.enabled else "")
         if self.enabled:
-            self.write(encode_start(machine, run._name, arguments, actions))
+            self.append_line(encode_start(machine, run._name, arguments, actions))
         return run
 
-    def write(self, line: bytes) -> None:
+    def append_line(self, line: bytes) -> None:
         """Append a line; a full file system must not fail the call."""
         try:
             with self._lock:
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
@@ -103,7 +103,9 @@
         """Take the call to its end; the caller is answered as soon as it is known."""
         wanted = _wanted(self.permit.call)
         step = start_call(wanted)
-        self.recorded = self.recorder.start(CALL_MACHINE, (wanted,), step.actions)
+        self.recorded = self.recorder.record_start(
+            CALL_MACHINE, (wanted,), step.actions
+        )
         state = step.state
         actions = list(step.actions)
         while actions:
@@ -117,7 +119,7 @@
             if event is None:
                 continue
             step = step_call(state, event)
-            self.recorded.step(event, step.actions)
+            self.recorded.record_step(event, step.actions)
             state = step.state
             actions.extend(step.actions)
 
@@ -231,7 +233,7 @@
                 time.sleep(pause)
                 pause = min(2 * pause, MAX_OUTCOME_PAUSE_SECONDS)
             step = step_call(state, event)
-            self.recorded.step(event, step.actions)
+            self.recorded.record_step(event, step.actions)
             state = step.state
             actions.extend(step.actions)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
@@ -101,7 +101,7 @@
         """Take the turn to its end."""
         known = self.book.known_rows(self.permit.call, self.turn.row_keys)
         step = start_turn(self.turn, known)
-        run = self.recorder.start(TURN_MACHINE, (self.turn, known), step.actions)
+        run = self.recorder.record_start(TURN_MACHINE, (self.turn, known), step.actions)
         state = step.state
         actions = list(step.actions)
         while actions:
@@ -110,7 +110,7 @@
             if isinstance(outcome, Finished | Failed):
                 return outcome
             step = step_turn(state, outcome)
-            run.step(outcome, step.actions)
+            run.record_step(outcome, step.actions)
             state = step.state
             actions.extend(step.actions)
         return Failed(platform_refusal(Verdict.MAY_HAVE_RUN))
