--- a/packages/swifttide_daemon/src/swifttide_daemon/recording/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/recording/__init__.py
@@ -1,4 +1,4 @@
-"""Recording of traces that ``swifttide replay`` takes."""
+"""Records traces of calls and turns for ``swifttide replay``."""
 
 from swifttide_daemon.recording._recorder import RecordedRun, Recorder
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/recording/_recorder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/recording/_recorder.py
@@ -1,4 +1,9 @@
-"""Records what the core's machines were told and asked for."""
+"""Records the state machines of calls and turns in a trace file.
+
+For each call or turn, the file holds the arguments that its state machine started
+with, the events that the machine received and the actions that it returned.
+``swifttide replay`` reads the file. Nothing is recorded unless a path is set.
+"""
 
 import os
 import threading
@@ -9,13 +14,14 @@
 
 
 class RecordedRun:
-    """One call or turn that is being recorded.
+    """Recording of one call or turn.
 
     Parameters
     ----------
     recorder : Recorder
+        Recorder that writes the steps.
     name : str
-        Unique id of the run.
+        Unique id of the run in the trace; empty if nothing is recorded.
     """
 
     def __init__(self, recorder: "Recorder", name: str) -> None:
@@ -23,19 +29,19 @@
         self._name = name
 
     def record_step(self, event: Any, actions: tuple[Any, ...]) -> None:
-        """Record an event and what followed."""
+        """Record an event and the actions that the state machine returned for it."""
         if self._recorder.enabled:
             self._recorder.append_line(encode_step(self._name, event, actions))
 
 
 class Recorder:
-    """Appends to a trace file, or does nothing.
+    """Appends lines to a trace file, or does nothing if no path is set.
 
     Parameters
     ----------
     path : str
-        File; empty records nothing. It holds customers' names, program ids and the
-        answers of services, but no conversations.
+        Path of the trace file; if empty, nothing is recorded. The file contains names
+        of customers, ids of programs and answers of services, but no conversations.
     """
 
     def __init__(self, path: str) -> None:
@@ -47,7 +53,7 @@
 
     @property
     def enabled(self) -> bool:
-        """Whether anything is recorded."""
+        """Whether a trace is being recorded."""
         return self._fd >= 0
 
     def record_start(
@@ -56,14 +62,18 @@
         arguments: tuple[Any, ...],
         actions: tuple[Any, ...],
     ) -> RecordedRun:
-        """Record the start of a run."""
+        """Record the start of a call or turn and return its recording."""
         run = RecordedRun(self, new_id() if self.enabled else "")
         if self.enabled:
             self.append_line(encode_start(machine, run._name, arguments, actions))
         return run
 
     def append_line(self, line: bytes) -> None:
-        """Append a line; a full file system must not fail the call."""
+        """Append a line to the trace file.
+
+        If writing fails, such as on a full file system, recording ends for good. The
+        recorded call itself must not fail.
+        """
         try:
             with self._lock:
                 os.write(self._fd, line)
