--- a/packages/swifttide_daemon/src/swifttide_daemon/peers/_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peers/_client.py
@@ -10,7 +10,7 @@
 from swifttide_core.verdicts import Reason, Refusal
 from swifttide_daemon.peers._proof import PeerProof
 from swifttide_daemon.settings import Settings
-from swifttide_daemon.transport import make_pool, verdict_of
+from swifttide_daemon.transport import make_connection_pool, verdict_for_error
 
 COME_BACK_SECONDS = 1.0
 
@@ -44,7 +44,12 @@
     def from_settings(cls, settings: Settings, proof: PeerProof) -> "PeerClient":
         """Return a client with the settings' timeouts."""
         timeouts = settings.timeouts
-        return cls(make_pool(), proof, timeouts.connect_seconds, timeouts.peer_seconds)
+        return cls(
+            make_connection_pool(),
+            proof,
+            timeouts.connect_seconds,
+            timeouts.peer_seconds,
+        )
 
     def call(
         self,
@@ -108,7 +113,7 @@
                 Refusal(
                     Reason.TIMEOUT,
                     f"no answer of the peer ({type(exc).__name__})",
-                    verdict=verdict_of(exc),
+                    verdict=verdict_for_error(exc),
                     retry_after_seconds=COME_BACK_SECONDS,
                 )
             )
--- a/packages/swifttide_daemon/src/swifttide_daemon/store/_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/store/_client.py
@@ -19,7 +19,7 @@
     Transaction,
 )
 from swifttide_daemon.telemetry import Telemetry
-from swifttide_daemon.transport import make_pool, verdict_of
+from swifttide_daemon.transport import make_connection_pool, verdict_for_error
 
 COMMIT_TRIES = 3
 """A lost answer is settled by sending the same transaction id again."""
@@ -69,7 +69,7 @@
         """Return a client for the platform that the settings name."""
         timeouts = settings.timeouts
         return cls(
-            pool=make_pool(),
+            pool=make_connection_pool(),
             base_url=settings.platform_url,
             headers={"X-Host": settings.host, "X-Zone": settings.zone},
             timeout=urllib3.Timeout(
@@ -225,7 +225,7 @@
             )
         except (urllib3.exceptions.HTTPError, OSError) as exc:
             self._failing = True
-            sent = verdict_of(exc) is not Verdict.NOT_RUN
+            sent = verdict_for_error(exc) is not Verdict.NOT_RUN
             return Error(PlatformError(type(exc).__name__, may_have_committed=sent))
         self._failing = answer.status >= 500
         if not self._failing:
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_engine_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_engine_client.py
@@ -16,7 +16,7 @@
     EngineText,
     TargetFailure,
 )
-from swifttide_daemon.transport import make_pool, verdict_of
+from swifttide_daemon.transport import make_connection_pool, verdict_for_error
 
 ERRORS = (urllib3.exceptions.HTTPError, OSError)
 MAX_RESUMES = 20
@@ -50,7 +50,11 @@
     @classmethod
     def from_settings(cls, timeouts: TimeoutSettings) -> "EngineClient":
         """Return a client with the settings' timeouts."""
-        return cls(make_pool(128), timeouts.connect_seconds, timeouts.token_gap_seconds)
+        return cls(
+            make_connection_pool(128),
+            timeouts.connect_seconds,
+            timeouts.token_gap_seconds,
+        )
 
     def chat(
         self,
@@ -196,7 +200,7 @@
                 preload_content=False,
             )
         except ERRORS as exc:
-            verdict = verdict_of(exc)
+            verdict = verdict_for_error(exc)
             if method == "POST" and verdict is Verdict.MAY_HAVE_RUN:
                 return self._reopen(target, headers, exc)
             raise TargetFailure(
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_service_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_service_client.py
@@ -9,7 +9,7 @@
 from swifttide_daemon.settings import TimeoutSettings
 from swifttide_daemon.targets._engine_events import TargetFailure
 from swifttide_daemon.targets._service_answer import ServiceAnswer
-from swifttide_daemon.transport import make_pool, verdict_of
+from swifttide_daemon.transport import make_connection_pool, verdict_for_error
 
 REQUEST_ID = "X-Request-Id"
 OTHER_CONTENT = "application/octet-stream"
@@ -34,7 +34,7 @@
     @classmethod
     def from_settings(cls, timeouts: TimeoutSettings) -> "ServiceClient":
         """Return a client with the settings' timeouts."""
-        return cls(make_pool(128), timeouts.connect_seconds)
+        return cls(make_connection_pool(128), timeouts.connect_seconds)
 
     def send(
         self,
@@ -67,7 +67,7 @@
         TargetFailure
             When there is no whole answer to this very call.
         """
-        pool = self.pool if reuse else make_pool(1, 1)
+        pool = self.pool if reuse else make_connection_pool(1, 1)
         try:
             answer = pool.request(
                 "POST",
@@ -77,7 +77,7 @@
                 timeout=urllib3.Timeout(connect=self.connect_seconds, read=seconds),
             )
         except (urllib3.exceptions.HTTPError, OSError) as exc:
-            verdict = verdict_of(exc)
+            verdict = verdict_for_error(exc)
             raise TargetFailure(
                 Reason.TARGET_FAILED,
                 f"no answer of the service ({type(exc).__name__})",
--- a/packages/swifttide_daemon/src/swifttide_daemon/transport/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/transport/__init__.py
@@ -1,6 +1,6 @@
 """Outgoing HTTP: connections and what their failures mean."""
 
-from swifttide_daemon.transport._failure import verdict_of
-from swifttide_daemon.transport._pool import make_pool
+from swifttide_daemon.transport._failure import verdict_for_error
+from swifttide_daemon.transport._pool import make_connection_pool
 
-__all__ = ["make_pool", "verdict_of"]
+__all__ = ["make_connection_pool", "verdict_for_error"]
--- a/packages/swifttide_daemon/src/swifttide_daemon/transport/_failure.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/transport/_failure.py
@@ -5,7 +5,7 @@
 from swifttide_core.verdicts import Verdict
 
 
-def verdict_of(exc: Exception) -> Verdict:
+def verdict_for_error(exc: Exception) -> Verdict:
     """Return what is known of a request whose exchange raised `exc`.
 
     Only a connection that never came about proves that no byte left. An error on an
--- a/packages/swifttide_daemon/src/swifttide_daemon/transport/_pool.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/transport/_pool.py
@@ -12,7 +12,7 @@
 # Something between the two ends may forget an open connection: packets then vanish
 # without a reset, and a request on it would wait for its whole timeout. Keepalive
 # finds such a connection while idle, the user timeout while data is unacknowledged.
-SOCKET_OPTIONS = (
+TCP_SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
@@ -22,7 +22,9 @@
 )
 
 
-def make_pool(n_pools: int = 64, connections_per_peer: int = 32) -> urllib3.PoolManager:
+def make_connection_pool(
+    n_pools: int = 64, connections_per_peer: int = 32
+) -> urllib3.PoolManager:
     """Return a connection pool without retries and redirects of its own.
 
     The library must not retry: it can't know which calls may run twice.
@@ -31,5 +33,5 @@
         num_pools=n_pools,
         maxsize=connections_per_peer,
         retries=False,
-        socket_options=list(SOCKET_OPTIONS),
+        socket_options=list(TCP_SOCKET_OPTIONS),
     )
