--- a/packages/swifttide_daemon/src/swifttide_daemon/transport/_failure.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/transport/_failure.py
@@ -1,4 +1,4 @@
-"""What a failed exchange says about whether the request arrived."""
+"""Classifies errors of HTTP requests by whether the request may have run."""
 
 from urllib3 import exceptions
 
@@ -6,11 +6,11 @@
 
 
 def verdict_for_error(exc: Exception) -> Verdict:
-    """Return what is known of a request whose exchange raised `exc`.
+    """Return whether a request that raised `exc` may have run.
 
-    Only a connection that never came about proves that no byte left. An error on an
-    open connection, be it a reset at the first write, proves nothing: the other end
-    may have read the request before it died.
+    Only a connection that was never established proves that no byte was sent. An
+    error on an open connection, even a reset at the first write, proves nothing,
+    because the peer may have read the request before it died.
     """
     match exc:
         case exceptions.NewConnectionError() | exceptions.ConnectTimeoutError():
--- a/packages/swifttide_daemon/src/swifttide_daemon/transport/_pool.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/transport/_pool.py
@@ -1,4 +1,4 @@
-"""Outgoing connections."""
+"""Connection pool for outgoing HTTP requests."""
 
 import socket
 
@@ -9,9 +9,10 @@
 KEEPALIVE_PROBES = 3
 USER_TIMEOUT_MILLISECONDS = 10_000
 
-# Something between the two ends may forget an open connection: packets then vanish
-# without a reset, and a request on it would wait for its whole timeout. Keepalive
-# finds such a connection while idle, the user timeout while data is unacknowledged.
+# A device on the network path may lose the state of an open connection. Packets are
+# then dropped without a reset, and a request would wait for its whole timeout.
+# Keepalive detects such a connection while it is idle, and TCP_USER_TIMEOUT while sent
+# data is not acknowledged.
 TCP_SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -25,9 +26,9 @@
 def make_connection_pool(
     n_pools: int = 64, connections_per_peer: int = 32
 ) -> urllib3.PoolManager:
-    """Return a connection pool without retries and redirects of its own.
+    """Return a connection pool that neither retries nor follows redirects.
 
-    The library must not retry: it can't know which calls may run twice.
+    urllib3 must not retry, because it can't know which calls may run twice.
     """
     return urllib3.PoolManager(
         num_pools=n_pools,
