--- a/packages/swifttide_core/src/swifttide_core/checks/_ranges.py
+++ b/packages/swifttide_core/src/swifttide_core/checks/_ranges.py
@@ -1,4 +1,4 @@
-"""Checks of decoded values; each returns its errors instead of raising."""
+"""Checks of decoded values. Each check returns its errors instead of raising."""
 
 import ipaddress
 import re
@@ -6,7 +6,7 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-from swifttide_core.checks._decoding import show, show_hidden
+from swifttide_core.checks._decoding import describe_secret, format_value
 from swifttide_core.checks._field_error import FieldError
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
@@ -19,57 +19,64 @@
     """Check that ``low <= value <= high``; NaN fails."""
     if low <= value <= high:
         return ()
-    return (FieldError(path, show(value), f"a number from {low:g} to {high:g}"),)
+    return (
+        FieldError(path, format_value(value), f"a number from {low:g} to {high:g}"),
+    )
 
 
 def check_name(path: str, value: str) -> tuple[FieldError, ...]:
-    """Check an id of a host, zone, customer, target or profile.
+    """Check the name of a host, zone, customer, target or profile.
 
-    Ids become parts of URLs, headers and keys of rows. One with a slash or a line
-    break in it would name another row, or add a header of its own to a request.
+    Names become parts of URLs, headers and row keys. A name with a slash could refer
+    to another row, and one with a line break could add a header to a request.
     """
     if _NAME.fullmatch(value):
         return ()
-    expected = "1 to 128 letters, digits, '.', '_' or '-', not starting with a sign"
-    return (FieldError(path, show(value), expected),)
+    expected = (
+        "1 to 128 letters, digits, '.', '_' or '-', starting with a letter or digit"
+    )
+    return (FieldError(path, format_value(value), expected),)
 
 
 def check_one_of(
     path: str, value: str, allowed: Iterable[str]
 ) -> tuple[FieldError, ...]:
-    """Check that a value is one of a few."""
+    """Check that a value is one of the allowed values."""
     allowed = tuple(allowed)
     if value in allowed:
         return ()
-    listed = ", ".join(show(a) for a in allowed)
-    return (FieldError(path, show(value), f"one of {listed}"),)
+    listed = ", ".join(format_value(a) for a in allowed)
+    return (FieldError(path, format_value(value), f"one of {listed}"),)
 
 
 def check_ip_address(path: str, value: str) -> tuple[FieldError, ...]:
-    """Check an IP number; processes talk by number, not by host name."""
+    """Check an IP address. Processes connect by IP address, not by host name."""
     try:
         ipaddress.ip_address(value)
     except ValueError:
-        return (FieldError(path, show(value), "an IP number"),)
+        return (FieldError(path, format_value(value), "an IP address"),)
     return ()
 
 
 def check_key_hash(path: str, value: str) -> tuple[FieldError, ...]:
-    """Check the SHA-256 of a key in lower-case hex; never repeats the value."""
+    """Check the SHA-256 hash of a key in lower-case hex.
+
+    The error never contains the value, which may be the key itself.
+    """
     if _KEY_HASH.fullmatch(value):
         return ()
     expected = "the SHA-256 of a key, 64 lower-case hex digits"
-    return (FieldError(path, show_hidden(value), expected),)
+    return (FieldError(path, describe_secret(value), expected),)
 
 
 def check_url_by_ip(path: str, value: str) -> tuple[FieldError, ...]:
-    """Check a base URL such as ``http://10.0.0.7:8000``.
+    """Check a base URL with an IP address, such as ``http://10.0.0.7:8000``.
 
-    User, query and fragment are refused: they would be joined with the path of
-    every request, and a password in them would end up in logs.
+    User, password, query and fragment are rejected. They would be joined with the
+    path of every request, and a password would appear in logs.
     """
-    expected = "a URL such as http://10.0.0.7:8000, by IP number"
-    error = (FieldError(path, show(_without_user(value)), expected),)
+    expected = "a URL with an IP address, such as http://10.0.0.7:8000"
+    error = (FieldError(path, format_value(_redact_credentials(value)), expected),)
     try:
         parts = urlsplit(value)
         port = parts.port
@@ -87,17 +94,17 @@
     values: Iterable[Any],
     check: Callable[[str, Any], tuple[FieldError, ...]],
 ) -> tuple[FieldError, ...]:
-    """Check every item of an array, and that none stands twice."""
+    """Check every item of an array, and that no item occurs twice."""
     errors: list[FieldError] = []
     seen = set()
     for i, value in enumerate(values):
         place = f"{path}[{i}]"
         errors += check(place, value)
         if value in seen:
-            errors.append(FieldError(place, "an item again", "each item once"))
+            errors.append(FieldError(place, "a duplicate item", "unique items"))
         seen.add(value)
     return tuple(errors)
 
 
-def _without_user(url: str) -> str:
+def _redact_credentials(url: str) -> str:
     return re.sub(r"//[^/@]*@", "//...@", url)
--- a/packages/swifttide_core/src/swifttide_core/documents/_check_document.py
+++ b/packages/swifttide_core/src/swifttide_core/documents/_check_document.py
@@ -17,7 +17,7 @@
     check_name,
     check_url_by_ip,
     decode_fields,
-    show,
+    format_value,
 )
 from swifttide_core.documents._customer import Customer
 from swifttide_core.documents._document_kind import DocumentKind
@@ -70,7 +70,7 @@
     """
     if kind not in _CLASS_BY_KIND:
         expected = "one of " + ", ".join(DocumentKind)
-        return Error((FieldError("kind", show(str(kind)), expected),))
+        return Error((FieldError("kind", format_value(str(kind)), expected),))
     decoded = decode_fields(_CLASS_BY_KIND[DocumentKind(kind)], raw)
     return decoded.bind(_check_ranges)
 
@@ -138,7 +138,7 @@
     printable = rest.isascii() and rest.isprintable() and " " not in rest
     if not check_name(path, service) and printable and not rest.startswith("/"):
         return ()
-    return (FieldError(path, show(value), 'a "service/path" prefix'),)
+    return (FieldError(path, format_value(value), 'a "service/path" prefix'),)
 
 
 def _check_customer(doc: Customer) -> tuple[FieldError, ...]:
@@ -152,7 +152,7 @@
 def _check_key_grant(doc: KeyGrant) -> tuple[FieldError, ...]:
     errors = check_key_hash("key_hash", doc.key_hash)
     if doc.operator and doc.customer:
-        got = show(doc.customer)
+        got = format_value(doc.customer)
         return (*errors, FieldError("customer", got, "no customer for an operator key"))
     if doc.operator:
         return errors
--- a/packages/swifttide_core/src/swifttide_core/replay/_encoding.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_encoding.py
@@ -1,37 +1,41 @@
-"""Lines of a trace from what a machine was told and asked for."""
+"""Encodes starts and steps of state machines as lines of a trace."""
 
 from typing import Any
 
 import msgspec
 
-from swifttide_core.replay._machine import Machine
+from swifttide_core.replay._machine import StateMachine
 
 
 def encode_start(
-    machine: Machine, run: str, arguments: tuple[Any, ...], actions: tuple[Any, ...]
+    machine: StateMachine,
+    run: str,
+    arguments: tuple[Any, ...],
+    actions: tuple[Any, ...],
 ) -> bytes:
-    """Return the line of a run's start."""
+    """Return the line that records the start of a run."""
     line = {
         "run": run,
         "machine": machine.name,
         "start": arguments,
-        "actions": [with_type(action) for action in actions],
+        "actions": [encode_with_type(action) for action in actions],
     }
     return msgspec.json.encode(line) + b"\n"
 
 
 def encode_step(run: str, event: Any, actions: tuple[Any, ...]) -> bytes:
-    """Return the line of one event."""
+    """Return the line that records one event and the actions that followed."""
     line = {
         "run": run,
-        "event": with_type(event),
-        "actions": [with_type(action) for action in actions],
+        "event": encode_with_type(event),
+        "actions": [encode_with_type(action) for action in actions],
     }
     return msgspec.json.encode(line) + b"\n"
 
 
-def with_type(value: Any) -> dict[str, Any]:
-    """Return a data class as JSON with the name of its type."""
-    # Through JSON, so that what is compared is what a trace can hold.
+def encode_with_type(value: Any) -> dict[str, Any]:
+    """Return a data class instance as decoded JSON, with its class name as ``type``."""
+    # The round trip through JSON leaves only values that a trace can represent, so
+    # that recorded and replayed actions compare equal.
     members = msgspec.json.decode(msgspec.json.encode(value))
     return {"type": type(value).__name__, **members}
--- a/packages/swifttide_core/src/swifttide_core/replay/_machine.py
+++ b/packages/swifttide_core/src/swifttide_core/replay/_machine.py
@@ -1,4 +1,4 @@
-"""The state machines of the core that traces are recorded of."""
+"""State machines whose runs can be recorded and replayed."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,19 +22,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Machine:
-    """A machine, and how its arguments and events are decoded.
+class StateMachine:
+    """A state machine and the types that decode its arguments, events and actions.
 
     Parameters
     ----------
     name : str
-        Name in traces.
+        Name of the state machine in traces.
     start, step : callable
-        As the daemon calls them.
+        Functions of the state machine. ``start`` takes the arguments of a run,
+        ``step`` a state and an event. Both return the next state and the actions.
     start_types : tuple
-        Types of the start's arguments.
+        Types of the arguments of ``start``.
     events, actions : dict of str to type
-        By the name of the type.
+        Classes of events and actions, by class name.
     """
 
     name: str
@@ -45,28 +46,28 @@
     actions: dict[str, type]
 
 
-def _by_name(union: Any) -> dict[str, type]:
+def _types_by_name(union: Any) -> dict[str, type]:
     return {kind.__name__: kind for kind in get_args(union)}
 
 
-CALL = Machine(
+CALL_MACHINE = StateMachine(
     name="call",
     start=start_call,
     step=step_call,
     start_types=(IntentRow,),
-    events=_by_name(CallEvent),
-    actions=_by_name(CallAction),
+    events=_types_by_name(CallEvent),
+    actions=_types_by_name(CallAction),
 )
-"""A call that may not be repeated."""
+"""State machine of a call that must run at most once."""
 
-TURN = Machine(
+TURN_MACHINE = StateMachine(
     name="turn",
     start=start_turn,
     step=step_turn,
     start_types=(Turn, tuple[ProgramRow | None, ...] | None),
-    events=_by_name(TurnEvent),
-    actions=_by_name(TurnAction),
+    events=_types_by_name(TurnEvent),
+    actions=_types_by_name(TurnAction),
 )
-"""A turn of a program."""
+"""State machine of a turn of a program."""
 
-MACHINES = {machine.name: machine for machine in (CALL, TURN)}
+MACHINES = {machine.name: machine for machine in (CALL_MACHINE, TURN_MACHINE)}
--- a/packages/swifttide_daemon/src/swifttide_daemon/recording/_recorder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/recording/_recorder.py
@@ -1,41 +1,47 @@
-"""Records what the core's machines were told and asked for."""
+"""Records the state machines of calls and turns in a trace file.
+
+For each call or turn, the file holds the arguments that its state machine started
+with, the events that the machine received and the actions that it returned.
+``swifttide replay`` reads the file. Nothing is recorded unless a path is set.
+"""
 
 import os
 import threading
 from typing import Any
 
-from swifttide_core.replay import Machine, encode_start, encode_step
+from swifttide_core.replay import StateMachine, encode_start, encode_step
 from swifttide_daemon.store import new_id
 
 
 class RecordedRun:
-    """One call or turn that is being recorded.
+    """Recording of one call or turn.
 
     Parameters
     ----------
     recorder : Recorder
+        Recorder that writes the steps.
     name : str
-        Unique id of the run.
+        Unique id of the run in the trace; empty if nothing is recorded.
     """
 
     def __init__(self, recorder: "Recorder", name: str) -> None:
         self._recorder = recorder
         self._name = name
 
-    def step(self, event: Any, actions: tuple[Any, ...]) -> None:
-        """Record an event and what followed."""
+    def record_step(self, event: Any, actions: tuple[Any, ...]) -> None:
+        """Record an event and the actions that the state machine returned for it."""
         if self._recorder.enabled:
-            self._recorder.write(encode_step(self._name, event, actions))
+            self._recorder.append_line(encode_step(self._name, event, actions))
 
 
 class Recorder:
-    """Appends to a trace file, or does nothing.
+    """Appends lines to a trace file, or does nothing if no path is set.
 
     Parameters
     ----------
     path : str
-        File; empty records nothing. It holds customers' names, program ids and the
-        answers of services, but no conversations.
+        Path of the trace file; if empty, nothing is recorded. The file contains names
+        of customers, ids of programs and answers of services, but no conversations.
     """
 
     def __init__(self, path: str) -> None:
@@ -47,20 +53,27 @@
 
     @property
     def enabled(self) -> bool:
-        """Whether anything is recorded."""
+        """Whether a trace is being recorded."""
         return self._fd >= 0
 
-    def start(
-        self, machine: Machine, arguments: tuple[Any, ...], actions: tuple[Any, ...]
+    def record_start(
+        self,
+        machine: StateMachine,
+        arguments: tuple[Any, ...],
+        actions: tuple[Any, ...],
     ) -> RecordedRun:
-        """Record the start of a run."""
+        """Record the start of a call or turn and return its recording."""
         run = RecordedRun(self, new_id() if self.enabled else "")
         if self.enabled:
-            self.write(encode_start(machine, run._name, arguments, actions))
+            self.append_line(encode_start(machine, run._name, arguments, actions))
         return run
 
-    def write(self, line: bytes) -> None:
-        """Append a line; a full file system must not fail the call."""
+    def append_line(self, line: bytes) -> None:
+        """Append a line to the trace file.
+
+        If writing fails, such as on a full file system, recording ends for good. The
+        recorded call itself must not fail.
+        """
         try:
             with self._lock:
                 os.write(self._fd, line)
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_generator.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_generator.py
@@ -84,7 +84,7 @@
         n_attempts = 0
         may_have_run = False
         while True:
-            strike_refusal = self.strikes.check(prompt.fingerprint)
+            strike_refusal = self.strikes.check_request(prompt.fingerprint)
             if strike_refusal is not None:
                 return Error(strike_refusal.with_earlier_attempts(may_have_run))
             n_attempts += 1
@@ -254,7 +254,7 @@
         self.placer.finish(placement, outcome, ok=True)
         profile = context.profile.name
         self.estimates.observe_output(profile, usage.completion_tokens)
-        self.strikes.ran(prompt.fingerprint)
+        self.strikes.report_success(prompt.fingerprint)
         metrics = self.telemetry.metrics
         if timer.first_at is not None:
             metrics.observe_first_token(timer.first_at - context.started_at)
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
@@ -34,7 +34,7 @@
     start_call,
     step_call,
 )
-from swifttide_core.replay import CALL
+from swifttide_core.replay import CALL_MACHINE
 from swifttide_core.retries import Retry
 from swifttide_core.verdicts import Reason, Refusal, Verdict
 from swifttide_daemon.calls import Call, Failed, Finished, RunningCall
@@ -108,7 +108,9 @@
         """Run the call; the caller gets the answer before the outcome is stored."""
         intent = _new_intent(self.context.call)
         step = start_call(intent)
-        self.recording = self.recorder.start(CALL, (intent,), step.actions)
+        self.recording = self.recorder.record_start(
+            CALL_MACHINE, (intent,), step.actions
+        )
         state = step.state
         actions = list(step.actions)
         while actions:
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_turn_runner.py
@@ -34,7 +34,7 @@
     start_turn,
     step_turn,
 )
-from swifttide_core.replay import TURN
+from swifttide_core.replay import TURN_MACHINE
 from swifttide_core.verdicts import Refusal, Verdict
 from swifttide_daemon.calls import Failed, Finished, RunningCall
 from swifttide_daemon.programs import (
@@ -108,7 +108,7 @@
         """Run the turn and return its final event."""
         known = self.book.cached_rows(self.context.call, self.turn.row_keys)
         step = start_turn(self.turn, known)
-        run = self.recorder.start(TURN, (self.turn, known), step.actions)
+        run = self.recorder.record_start(TURN_MACHINE, (self.turn, known), step.actions)
         state = step.state
         actions = list(step.actions)
         while actions:
@@ -117,7 +117,7 @@
             if isinstance(outcome, Finished | Failed):
                 return outcome
             step = step_turn(state, outcome)
-            run.step(outcome, step.actions)
+            run.record_step(outcome, step.actions)
             state = step.state
             actions.extend(step.actions)
         return Failed(platform_refusal(Verdict.MAY_HAVE_RUN))
--- a/packages/swifttide_daemon/src/swifttide_daemon/store/_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/store/_client.py
@@ -22,7 +22,7 @@
     Transaction,
 )
 from swifttide_daemon.telemetry import Telemetry
-from swifttide_daemon.transport import make_pool, verdict_of
+from swifttide_daemon.transport import make_connection_pool, verdict_for_error
 
 MAX_COMMIT_ATTEMPTS = 3
 """Attempts to send a transaction.
@@ -77,7 +77,7 @@
         """Return a client of the platform named in the settings."""
         timeouts = settings.timeouts
         return cls(
-            pool=make_pool(),
+            pool=make_connection_pool(),
             base_url=settings.platform_url,
             headers={"X-Host": settings.host, "X-Zone": settings.zone},
             timeout=urllib3.Timeout(
@@ -242,7 +242,7 @@
             )
         except (urllib3.exceptions.HTTPError, OSError) as exc:
             self._failing = True
-            sent = verdict_of(exc) is not Verdict.NOT_RUN
+            sent = verdict_for_error(exc) is not Verdict.NOT_RUN
             return Error(PlatformError(type(exc).__name__, may_have_committed=sent))
         self._failing = answer.status >= 500
         if not self._failing:
--- a/packages/swifttide_daemon/src/swifttide_daemon/strikes/_strike_service.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/strikes/_strike_service.py
@@ -1,4 +1,10 @@
-"""Strikes against requests that crash their targets, at the fingerprint's holder."""
+"""Tracks requests that crash their targets and refuses them.
+
+A strike records that a target died while it ran a request. Requests are identified by
+a fingerprint. Each fingerprint belongs to a slot, and the host that holds the slot
+counts the strikes of its fingerprints. All other hosts query the holder before they run
+a request, and report strikes and successful runs to it.
+"""
 
 import threading
 import time
@@ -13,66 +19,70 @@
 
 
 class StrikeService:
-    """Asks and tells the holders of fingerprints; keeps the book of its own.
+    """Checks fingerprints and reports strikes to the hosts that hold them.
+
+    Strikes of the fingerprints that this host holds are tracked locally.
 
     Parameters
     ----------
     membership : MembershipService
+        Determines the host that holds a fingerprint.
     peers : PeerClient
+        Sends queries and reports to other hosts.
     """
 
     def __init__(self, membership: MembershipService, peers: PeerClient) -> None:
         self.membership = membership
         self.peers = peers
-        self._book = StrikeTracker()
+        self._tracker = StrikeTracker()
         self._lock = threading.Lock()
 
-    def check(self, fingerprint: str) -> Refusal | None:
-        """Return why a request is put aside, or None.
+    def check_request(self, fingerprint: str) -> Refusal | None:
+        """Return the refusal of a request with this fingerprint, or None.
 
-        A holder that can't be reached refuses nobody: a request that crashes targets
-        is rare, an unreachable holder is not.
+        If there is no holder or it can't be reached, the request is not refused.
+        Requests that crash targets are rare, but unreachable holders are not.
         """
         holder = self.membership.holder(SlotKind.FINGERPRINT, fingerprint)
         if holder is None:
             return None
         if holder.host == self.membership.me.host:
-            return self.standing(fingerprint)
+            return self.check_local(fingerprint)
         answer = self.peers.call(
             holder.peer_url, "GET", f"/peer/v1/fingerprints/{fingerprint}"
         )
         if answer.is_error() or not answer.ok["refused"]:
             return None
-        return _refusal(answer.ok["refused_seconds"])
+        return _make_refusal(answer.ok["refused_seconds"])
 
     def report(self, strike: Strike) -> None:
-        """Tell the holder that a request's target died under it."""
-        self._tell(strike.fingerprint, "strike", strike)
+        """Report to the holder that a target died while it ran the request."""
+        self._notify_holder(strike.fingerprint, "strike", strike)
 
-    def ran(self, fingerprint: str) -> None:
-        """Tell the holder that a suspected request ran to its end."""
-        self._tell(fingerprint, "ran", {})
+    def report_success(self, fingerprint: str) -> None:
+        """Report to the holder that a suspected request ran to completion."""
+        self._notify_holder(fingerprint, "ran", {})
 
-    def standing(self, fingerprint: str) -> Refusal | None:
-        """Answer from the own book."""
+    def check_local(self, fingerprint: str) -> Refusal | None:
+        """Return the refusal from the strikes tracked on this host, or None."""
         with self._lock:
-            match self._book.status_of(time.monotonic(), fingerprint):
+            match self._tracker.status_of(time.monotonic(), fingerprint):
                 case Refused(seconds):
-                    return _refusal(seconds)
+                    return _make_refusal(seconds)
                 case Clear() | Suspect():
                     return None
 
-    def note(self, strike: Strike) -> None:
-        """Write a strike into the own book."""
+    def record_strike(self, strike: Strike) -> None:
+        """Add a strike to those tracked on this host."""
         with self._lock:
-            self._book.record_strike(time.monotonic(), strike)
+            self._tracker.record_strike(time.monotonic(), strike)
 
-    def note_ran(self, fingerprint: str) -> None:
-        """Clear a request in the own book."""
+    def record_success(self, fingerprint: str) -> None:
+        """Record on this host that the request ran to completion."""
         with self._lock:
-            self._book.record_success(time.monotonic(), fingerprint)
+            self._tracker.record_success(time.monotonic(), fingerprint)
 
-    def _tell(self, fingerprint: str, verb: str, message: object) -> None:
+    def _notify_holder(self, fingerprint: str, verb: str, message: object) -> None:
         holder = self.membership.holder(SlotKind.FINGERPRINT, fingerprint)
         if holder is None:
             return
@@ -81,19 +91,19 @@
             self.peers.call(holder.peer_url, "POST", path, message)
             return
         if isinstance(message, Strike):
-            self.note(message)
+            self.record_strike(message)
         else:
-            self.note_ran(fingerprint)
+            self.record_success(fingerprint)
 
 
-def strike_of(message: object) -> Strike:
-    """Decode a peer's message."""
+def decode_strike(message: object) -> Strike:
+    """Decode a strike from the JSON message of a peer."""
     return msgspec.convert(message, Strike)
 
 
-def _refusal(seconds: float) -> Refusal:
+def _make_refusal(seconds: float) -> Refusal:
     return Refusal(
         Reason.CRASHES_TARGETS,
-        "targets died under this request; it is put aside",
+        "targets died while running this request; it is refused for a time",
         retry_after_seconds=seconds,
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_service_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_service_client.py
@@ -12,7 +12,7 @@
 from swifttide_daemon.settings import TimeoutSettings
 from swifttide_daemon.targets._engine_events import TargetFailure
 from swifttide_daemon.targets._service_answer import ServiceAnswer
-from swifttide_daemon.transport import make_pool, verdict_of
+from swifttide_daemon.transport import make_connection_pool, verdict_for_error
 
 REQUEST_ID_HEADER = "X-Request-Id"
 DEFAULT_CONTENT_TYPE = "application/octet-stream"
@@ -37,7 +37,7 @@
     @classmethod
     def from_settings(cls, timeouts: TimeoutSettings) -> "ServiceClient":
         """Return a client with the timeouts of the settings."""
-        return cls(make_pool(128), timeouts.connect_seconds)
+        return cls(make_connection_pool(128), timeouts.connect_seconds)
 
     def send(
         self,
@@ -70,7 +70,7 @@
         TargetFailure
             If there is no complete answer to this call.
         """
-        pool = self.pool if reuse_connection else make_pool(1, 1)
+        pool = self.pool if reuse_connection else make_connection_pool(1, 1)
         try:
             answer = pool.request(
                 "POST",
@@ -82,7 +82,7 @@
                 ),
             )
         except (urllib3.exceptions.HTTPError, OSError) as exc:
-            verdict = verdict_of(exc)
+            verdict = verdict_for_error(exc)
             raise TargetFailure(
                 Reason.TARGET_FAILED,
                 f"no answer from the service ({type(exc).__name__})",
