--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_chunked_body.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_chunked_body.py
@@ -11,7 +11,7 @@
 from cheroot.server import CRLF
 
 _SIZE = re.compile(rb"[0-9a-fA-F]{1,8}")
-_LONGEST_LINE = 64
+_MAX_SIZE_LINE_BYTES = 64
 _EXTENSION = b";"
 
 
@@ -57,7 +57,7 @@
     def _read_chunk(self) -> None:
         size = self._read_size()
         if size == 0:
-            self._read_end()
+            self._read_crlf()
             self.finished = True
             return
         self._n_read += size
@@ -67,10 +67,10 @@
         if len(chunk) < size:
             raise ValueError("the body broke off")
         self._buffer += chunk
-        self._read_end()
+        self._read_crlf()
 
     def _read_size(self) -> int:
-        line = self._rfile.readline(_LONGEST_LINE)
+        line = self._rfile.readline(_MAX_SIZE_LINE_BYTES)
         if not line.endswith(CRLF):
             raise ValueError("a chunk has no plain size")
         digits, _, _ = line[: -len(CRLF)].partition(_EXTENSION)
@@ -78,7 +78,7 @@
             raise ValueError("a chunk has no plain size")
         return int(digits, 16)
 
-    def _read_end(self) -> None:
+    def _read_crlf(self) -> None:
         """Read the CRLF after a chunk; trailers are refused."""
         if self._rfile.read(len(CRLF)) != CRLF:
             raise ValueError("a chunk doesn't end with CRLF")
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_strict_request.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_strict_request.py
@@ -11,14 +11,14 @@
 from swifttide_daemon.web._chunked_body import ChunkedBody
 from swifttide_daemon.web._header_reader import StrictHeaderReader
 
-BODY_FACTOR = 4
+BODY_TIMEOUT_FACTOR = 4
 """A body may take so many times as long as the headers: 8 MiB in 120 s are 70 KB a
 second, which a tablet on a bad line still reaches."""
 
 LAST_CHUNK = b"0\r\n\r\n"
-_FIRST_SERVER_ERROR = 500
-_NOT_STARTED = frozenset({501, 503, 505})
-_REASONS = {
+_MIN_SERVER_ERROR_STATUS = 500
+_NOT_RUN_STATUSES = frozenset({501, 503, 505})
+_REASON_BY_STATUS = {
     408: Reason.TIMEOUT,
     413: Reason.TOO_LARGE,
     414: Reason.TOO_LARGE,
@@ -57,7 +57,7 @@
 
     def respond(self) -> None:
         """Run the application."""
-        body_seconds = BODY_FACTOR * self.server.timeout
+        body_seconds = BODY_TIMEOUT_FACTOR * self.server.timeout
         self.conn.read_until = time.monotonic() + body_seconds
         self._app_started = True
         if self.chunked_read:
@@ -99,8 +99,10 @@
             self.conn.wfile.write(head.encode() + body)
 
     def _problem(self, code: int, detail: str) -> dict[str, Any]:
-        other = Reason.BAD_REQUEST if code < _FIRST_SERVER_ERROR else Reason.INTERNAL
-        reason = _REASONS.get(code, other)
+        other = (
+            Reason.BAD_REQUEST if code < _MIN_SERVER_ERROR_STATUS else Reason.INTERNAL
+        )
+        reason = _REASON_BY_STATUS.get(code, other)
         return {
             "title": reason.value.replace("_", " "),
             "status": code,
@@ -111,6 +113,6 @@
         }
 
     def _verdict(self, code: int) -> Verdict:
-        if not self._app_started or code in _NOT_STARTED:
+        if not self._app_started or code in _NOT_RUN_STATUSES:
             return Verdict.NOT_RUN
         return Verdict.MAY_HAVE_RUN
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_strict_server.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_strict_server.py
@@ -7,15 +7,16 @@
 
 from swifttide_daemon.web._strict_connection import StrictConnection
 
-_TOO_MANY = (
+_TOO_MANY_CONNECTIONS_BODY = (
     b'{"title": "queue full", "status": 503, "reason": "queue_full", '
     b'"detail": "too many connections at this host", "verdict": "not_run", '
     b'"retry_after_seconds": 1}'
 )
-_REFUSED = (
+_TOO_MANY_CONNECTIONS_RESPONSE = (
     b"HTTP/1.1 503 -\r\nContent-Type: application/problem+json\r\n"
     b"Swifttide-Verdict: not_run\r\nRetry-After: 1\r\nConnection: close\r\n"
-    b"Content-Length: %d\r\n\r\n%s" % (len(_TOO_MANY), _TOO_MANY)
+    b"Content-Length: %d\r\n\r\n%s"
+    % (len(_TOO_MANY_CONNECTIONS_BODY), _TOO_MANY_CONNECTIONS_BODY)
 )
 
 
@@ -60,7 +61,7 @@
     """Answer and close; a new socket's buffer takes so few bytes without waiting."""
     try:
         conn.socket.settimeout(0)
-        conn.socket.send(_REFUSED)
+        conn.socket.send(_TOO_MANY_CONNECTIONS_RESPONSE)
     except OSError:
         pass
     finally:
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/tests/test_strict_server.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/tests/test_strict_server.py
@@ -158,7 +158,7 @@
         assert answer.count(b"HTTP/1.1") == 1
         assert server.seen == []
 
-    def test_chunks_of_an_old_protocol(self, server):
+    def test_chunked_http_1_0_request_is_refused(self, server):
         line = "POST /echo HTTP/1.0"
         answer = exchange(server, request(CHUNKED, body=SMUGGLED, line=line))
         assert b" 400 " in answer
@@ -171,7 +171,7 @@
         assert answer.count(b"HTTP/1.1 200") == 3
         assert [b for _, b in server.seen] == [b"hello", b"helloyou", b""]
 
-    def test_answer_that_closes(self, server):
+    def test_connection_close_drops_pipelined_request(self, server):
         """A host that stops says so, and the balancer sends more all the same."""
         line = "GET /leave HTTP/1.1"
         answer = exchange(server, request(line=line) + SMUGGLED)
@@ -204,7 +204,7 @@
         assert b" 400 " in answer or b" 413 " in answer
         assert server.seen == []
 
-    def test_body_that_breaks_off(self, server):
+    def test_truncated_body_is_refused(self, server):
         answer = exchange(server, request("Content-Length: 50", body=b"half"))
         assert b" 400 " in answer
         assert server.seen == []
@@ -219,7 +219,7 @@
         for sock in silent:
             sock.close()
 
-    def test_trickled_headers_end(self, server):
+    def test_slow_headers_are_cut_off_at_deadline(self, server):
         """A caller sends a byte now and then so that no read ever times out, and
         holds a thread for as long as it likes.
         """
@@ -267,8 +267,8 @@
             server.web.stop()
 
 
-class TestStrangers:
-    def test_long_body_of_a_stranger_is_not_read(self):
+class TestUnauthenticatedBodies:
+    def test_long_unauthenticated_body_is_not_read(self):
         """Strangers send bodies of the permitted length on all threads at once, and
         the host's memory is gone before any of them is told to go away.
         """
@@ -307,7 +307,7 @@
         assert record.exc_info[0] is ZeroDivisionError
 
 
-class TestJunk:
+class TestMalformedInput:
     @pytest.mark.parametrize(
         "data",
         [
@@ -324,7 +324,7 @@
             bytes(range(256)) * 4,
         ],
     )
-    def test_junk_reaches_no_handler(self, server, data):
+    def test_malformed_input_reaches_no_handler(self, server, data):
         answer = exchange(server, data)
         assert b" 200 " not in answer
         assert server.seen == []
