--- a/packages/swifttide_daemon/src/swifttide_daemon/web/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP in front: requests, answers, routes and servers."""
+"""HTTP server side of the daemon: requests, responses, routes and servers."""
 
 from swifttide_daemon.web._app import App, Route
 from swifttide_daemon.web._request import Request
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_app.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_app.py
@@ -1,4 +1,8 @@
-"""Routing of requests to handlers, as a WSGI application."""
+"""WSGI application that routes requests to handlers.
+
+The first route that matches path and method answers a request. Authentication may
+refuse a request with a long body before that body is read.
+"""
 
 import logging
 import re
@@ -19,17 +23,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A handler and what it answers.
+    """A handler with the method and the paths that it answers.
 
     Parameters
     ----------
     method : str
-        Verb in capitals.
+        HTTP method in upper case.
     pattern : str
-        Path with ``{name}`` for one segment and ``{name*}`` for the rest; the
-        segments become keyword arguments of the handler.
+        Path with ``{name}`` for one segment and ``{name*}`` for the rest of the
+        path; both are passed to the handler as keyword arguments.
     handler : callable
-        Takes a Request and the segments, returns a Response.
+        Takes a Request and the matched segments, returns a Response.
     """
 
     method: str
@@ -43,19 +47,21 @@
 
 
 class App:
-    """WSGI application over a table of routes.
+    """WSGI application with a list of routes.
 
     Parameters
     ----------
     routes : iterable of Route
-        Tried in their order.
+        Routes; the first one that matches is used.
     max_body_bytes : int
-        Longest body that is read.
+        Length of the longest body that is accepted.
     guard : callable or None
-        Called with each request before its handler; a refusal ends it.
+        Called with each request before its handler; a refusal that it returns is
+        sent instead of running the handler.
     before_body : callable or None
-        Called, without its body, with each request whose body is longer than
-        `SMALL_BODY_BYTES` or of unknown length; a refusal ends it unread.
+        Called with each request whose body is longer than `SMALL_BODY_BYTES` or of
+        unknown length, before the body is read. A refusal that it returns is sent
+        and the connection is closed with the body unread.
     """
 
     def __init__(
@@ -87,7 +93,7 @@
         now = time.monotonic()
         refusal = self._check_before_body(environ, now)
         if refusal is not None:
-            # What is left unread must not be taken for the next request.
+            # The unread body must not be parsed as the next request.
             closed = (("Connection", "close"),)
             response = Response.from_refusal(refusal)
             return replace(response, headers=(*response.headers, *closed))
@@ -98,22 +104,23 @@
         try:
             return self._dispatch(req)
         except Exception:
-            # A fault in a handler must not end the process or leave the caller
-            # without an answer; what it did before is unknown here.
+            # An exception in a handler must not end the process or leave the caller
+            # without a response. What the handler did before is unknown here, hence
+            # the verdict.
             log.exception("handler failed", extra={"path": req.path})
             return Response.from_refusal(
                 Refusal(
                     Reason.INTERNAL,
-                    "an internal error; it is in the log",
+                    "internal error; see the log of the daemon",
                     verdict=Verdict.MAY_HAVE_RUN,
                 )
             )
 
     def _check_before_body(self, environ: dict[str, Any], now: float) -> Refusal | None:
-        """Refuse a stranger's long body before it takes up memory.
+        """Let `before_body` refuse a request with a long body before it is read.
 
-        Anybody can open connections and send bodies of the permitted length on all
-        threads at once: half a gigabyte, at a host whose daemon should take 64 MB.
+        Unauthenticated callers could otherwise send bodies of the permitted length on
+        all threads at once: half a gigabyte, while the daemon should use 64 MB.
         """
         if self.before_body is None or has_small_body(environ):
             return None
@@ -134,6 +141,9 @@
             return route.handler(req, **match.groupdict())
         if known_path:
             return Response.from_refusal(
-                Refusal(Reason.BAD_REQUEST, f"method {req.method} is not answered here")
+                Refusal(
+                    Reason.BAD_REQUEST,
+                    f"method {req.method} is not supported for this path",
+                )
             )
         return Response.from_refusal(Refusal(Reason.NOT_FOUND, "no such path"))
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_chunked_body.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_chunked_body.py
@@ -1,8 +1,9 @@
-"""The body of a request in chunks, read with bounds.
+"""Reading of chunked request bodies with limits on chunk size and line length.
 
-cheroot reads a chunk whole, whatever size it claims, and a size line without bound:
-a caller that claims a chunk of a terabyte takes the host's memory. It also accepts
-signs in sizes and leaves trailers unread, which the next request then starts with.
+cheroot reads a chunk completely whatever size it declares, and size lines of any
+length: a caller that declares a chunk of a terabyte exhausts the host's memory. It
+also accepts signs in sizes and leaves trailers unread, which are then parsed as the
+start of the next request.
 """
 
 import re
@@ -16,20 +17,20 @@
 
 
 class ChunkedBody:
-    """Reads chunks up to a limit.
+    """Reader of a chunked body up to a limit.
 
     Parameters
     ----------
     rfile : file object
-        The connection.
+        Stream of the connection, positioned at the first chunk.
     max_bytes : int
-        Longest body; 0 for no limit.
+        Length of the longest accepted body; 0 for no limit.
 
     Attributes
     ----------
     finished : bool
-        Whether the body was read to its end, so that the connection can carry
-        another request.
+        Whether the body has been read to its end. Otherwise the connection can't be
+        used for another request.
     """
 
     def __init__(self, rfile: Any, max_bytes: int):
@@ -40,12 +41,12 @@
         self.finished = False
 
     def read(self, size: int = -1) -> bytes:
-        """Return up to `size` bytes, or all; fewer only at the end.
+        """Return `size` bytes, or fewer at the end of the body; all if negative.
 
         Raises
         ------
         ValueError
-            The chunks are malformed or longer than the limit.
+            If the chunks are malformed, truncated or longer than the limit.
         """
         while not self.finished and (size < 0 or len(self._buffer) < size):
             self._read_chunk()
@@ -65,20 +66,20 @@
             raise ValueError(f"the body is longer than {self._max_bytes} bytes")
         chunk = self._rfile.read(size)
         if len(chunk) < size:
-            raise ValueError("the body broke off")
+            raise ValueError("the body ended within a chunk")
         self._buffer += chunk
         self._read_crlf()
 
     def _read_size(self) -> int:
         line = self._rfile.readline(_MAX_SIZE_LINE_BYTES)
         if not line.endswith(CRLF):
-            raise ValueError("a chunk has no plain size")
+            raise ValueError("a chunk has no valid size line")
         digits, _, _ = line[: -len(CRLF)].partition(_EXTENSION)
         if _SIZE.fullmatch(digits) is None:
-            raise ValueError("a chunk has no plain size")
+            raise ValueError("a chunk has no valid size line")
         return int(digits, 16)
 
     def _read_crlf(self) -> None:
-        """Read the CRLF after a chunk; trailers are refused."""
+        """Read the CRLF after a chunk or after the last one; refuse trailers."""
         if self._rfile.read(len(CRLF)) != CRLF:
             raise ValueError("a chunk doesn't end with CRLF")
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_header_reader.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_header_reader.py
@@ -1,10 +1,10 @@
-"""Headers of a request, read without leniency.
+"""Strict parsing of request headers, against request smuggling.
 
-Between caller and host stands the platform's balancer, which shares its connections
-among callers. Where the two disagree on the end of a request, the rest of one
-caller's body is taken for the next caller's request and runs with that one's key
-(request smuggling). cheroot takes the last of two lengths, a sign or underscore in a
-length, and a space before the colon; each of them is refused here instead.
+The platform's load balancer stands between callers and host and shares its
+connections among callers. Where balancer and host disagree on the end of a request,
+the rest of one caller's body is parsed as the next caller's request and runs with the
+key of that caller. cheroot accepts the last of two lengths, a sign or an underscore
+in a length, and a space before the colon; all of these are refused here.
 """
 
 import re
@@ -13,7 +13,10 @@
 from cheroot.server import CRLF, HeaderReader
 
 MAX_HEADERS = 100
-"""A caller with tracing and a chain of proxies sends some thirty."""
+"""Limit of header lines per request.
+
+A caller with tracing and a chain of proxies sends some thirty.
+"""
 
 _NAME = re.compile(rb"[!#$%&'*+.^`|~0-9A-Za-z-]+")
 _VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
@@ -32,29 +35,33 @@
         b"X-Forwarded-Proto",
     }
 )
-"""Headers that may stand twice; of any other the two ends might take different
-ones."""
+"""Headers that may be repeated; their values are joined with commas.
+
+Of any other repeated header, balancer and host might use different values.
+"""
 
 
 class StrictHeaderReader(HeaderReader):
-    """Reads headers for cheroot; raises ValueError where one is not plain."""
+    """Header reader for cheroot that raises ValueError on ambiguous headers."""
 
     def __call__(
         self, rfile: Any, hdict: dict[bytes, bytes] | None = None
     ) -> dict[bytes, bytes]:
-        """Read headers up to the empty line.
+        """Read headers up to the empty line that ends them.
 
         Parameters
         ----------
         rfile : file object
-            Whose ``readline`` is bounded by the server's limit.
+            Connection; its ``readline`` enforces the server's limit on header bytes.
         hdict : dict or None
-            Filled, with names in title case as cheroot looks them up.
+            Dictionary to fill, with names in title case as cheroot looks them up;
+            None for a new one.
 
         Raises
         ------
         ValueError
-            With words that quote nothing of the input, which may be a key.
+            If the headers are malformed, ambiguous or too many. The message quotes
+            nothing of the input, which may contain a key.
         """
         headers = {} if hdict is None else hdict
         for _ in range(MAX_HEADERS + 1):
@@ -68,7 +75,7 @@
             elif name in _REPEATABLE:
                 headers[name] += b", " + value
             else:
-                raise ValueError("a header stands twice")
+                raise ValueError("a header that must not be repeated occurs twice")
         raise ValueError(f"got more than {MAX_HEADERS} headers")
 
 
@@ -76,13 +83,14 @@
     if not line.endswith(CRLF):
         raise ValueError("a header line doesn't end with CRLF")
     name, colon, value = line[: -len(CRLF)].partition(b":")
-    # A folded line starts with a space, which no name contains. Underscores are left
-    # out too: WSGI can't tell them from dashes, so X_Fencing would pass for X-Fencing.
+    # A folded line starts with a space, which is not allowed in a name. Underscores
+    # are refused too: WSGI can't tell them from dashes, so that X_Fencing would be
+    # read as X-Fencing.
     if not colon or _NAME.fullmatch(name) is None:
-        raise ValueError("a header line has no plain name")
+        raise ValueError("a header line has no valid name")
     value = value.strip(b" \t")
     if _VALUE.fullmatch(value) is None:
-        raise ValueError("a header value holds a control character")
+        raise ValueError("a header value contains a control character")
     return name.title(), value
 
 
@@ -92,6 +100,6 @@
     if length is not None and encoding is not None:
         raise ValueError("got both Content-Length and Transfer-Encoding")
     if length is not None and _LENGTH.fullmatch(length) is None:
-        raise ValueError("Content-Length is no whole number")
+        raise ValueError("Content-Length is not a whole number")
     if encoding is not None and encoding.lower() != b"chunked":
         raise ValueError("Transfer-Encoding is not chunked")
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_input.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_input.py
@@ -1,4 +1,4 @@
-"""Reading bodies, with limits and without trust."""
+"""Reading of request bodies that may be malformed, truncated or too long."""
 
 from typing import Any
 
@@ -7,11 +7,17 @@
 from swifttide_core.verdicts import Reason, Refusal
 
 SMALL_BODY_BYTES = 64 * 1024
-"""Read whoever sends it: 64 threads of them are 4 MB."""
+"""Longest body that is read before the caller is authenticated.
+
+Bodies of this length on 64 threads at once take 4 MB of memory.
+"""
 
 
 def has_small_body(environ: dict[str, Any]) -> bool:
-    """Return whether a request declares a body of `SMALL_BODY_BYTES` at most."""
+    """Return whether the body is known to be at most `SMALL_BODY_BYTES` long.
+
+    A chunked body has no declared length and counts as large.
+    """
     declared = environ.get("CONTENT_LENGTH", "")
     if not declared:
         return not environ.get("wsgi.input_terminated")
@@ -19,25 +25,26 @@
 
 
 def read_body(environ: dict[str, Any], max_bytes: int) -> Result[bytes, Refusal]:
-    """Read the whole body of a request.
+    """Read the complete body of a request.
 
     Parameters
     ----------
     environ : dict
         WSGI environment.
     max_bytes : int
-        Longest body that is accepted.
+        Length of the longest body that is accepted.
 
     Returns
     -------
     Result
-        The body, or why it was refused; the request was not run.
+        The body, or the refusal of a malformed, truncated or too long body. A
+        refused request has not been run.
     """
     stream = environ["wsgi.input"]
     declared = environ.get("CONTENT_LENGTH", "")
     if declared and not declared.isdigit():
         return Error(
-            Refusal(Reason.BAD_REQUEST, "got a Content-Length that is no whole number")
+            Refusal(Reason.BAD_REQUEST, "Content-Length is not a whole number")
         )
     if declared and int(declared) > max_bytes:
         return Error(_too_large(max_bytes))
@@ -47,16 +54,19 @@
     try:
         body = stream.read(wanted)
     except Exception as exc:
-        # cheroot raises its own types for a cut or malformed body and OSError for
-        # a silent sender; whatever it was, no byte has reached a target.
+        # cheroot raises its own exception types for a truncated or malformed body,
+        # and OSError for a sender that stalls. In all cases no byte has been sent
+        # to a target.
         return Error(
-            Refusal(Reason.BAD_REQUEST, f"the body broke off ({type(exc).__name__})")
+            Refusal(
+                Reason.BAD_REQUEST, f"reading the body failed ({type(exc).__name__})"
+            )
         )
     if declared and len(body) < wanted:
         return Error(
             Refusal(
                 Reason.BAD_REQUEST,
-                f"got {len(body)} bytes of body, expected {wanted}",
+                f"body truncated: got {len(body)} bytes, expected {wanted}",
             )
         )
     if len(body) > max_bytes:
@@ -66,5 +76,6 @@
 
 def _too_large(max_bytes: int) -> Refusal:
     return Refusal(
-        Reason.TOO_LARGE, f"the body is too large, expected at most {max_bytes} bytes"
+        Reason.TOO_LARGE,
+        f"the body is too large: at most {max_bytes} bytes are accepted",
     )
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_request.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_request.py
@@ -1,4 +1,4 @@
-"""A request as a handler sees it."""
+"""HTTP request object that is passed to the handlers."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -7,22 +7,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One HTTP request, read whole.
+    """One HTTP request whose body has been read completely.
 
     Parameters
     ----------
     method : str
-        Verb in capitals.
+        HTTP method in upper case.
     path : str
-        Path, percent-decoded but for ``%2F``.
+        Percent-decoded path; ``%2F`` is left encoded.
     query : str
-        Raw query string.
+        Query string, still percent-encoded.
     headers : dict of str to str
-        Names in lower case.
+        Header values by header name in lower case.
     body : bytes
-        The whole body.
+        Complete body; empty before the body has been read.
     arrived_at : float
-        Monotonic seconds.
+        Arrival time in seconds of the monotonic clock.
     """
 
     method: str
@@ -54,9 +54,12 @@
         )
 
     def header(self, name: str) -> str:
-        """Return a header's value, or an empty string."""
+        """Return the value of a header, or an empty string if it is missing.
+
+        The name is given in lower case.
+        """
         return self.headers.get(name, "")
 
     def param(self, name: str, default: str = "") -> str:
-        """Return the first value of a query parameter."""
+        """Return the first value of a query parameter, or `default`."""
         return parse_qs(self.query).get(name, [default])[0]
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_response.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_response.py
@@ -1,4 +1,4 @@
-"""An answer as a handler gives it."""
+"""HTTP response object that the handlers return."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -15,16 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """One HTTP answer.
+    """One HTTP response.
 
     Parameters
     ----------
     status : int
-        Status code.
+        HTTP status code.
     body : bytes or iterator of bytes
-        An iterator is sent chunk by chunk as it yields.
+        Bytes are sent with their length; an iterator is streamed, each item as it
+        is yielded.
     headers : tuple of (str, str)
-        Besides the content length.
+        Names and values of all headers but ``Content-Length``.
     """
 
     status: int
@@ -35,20 +36,20 @@
     def from_json(
         cls, value: Any, status: int = 200, headers: tuple[tuple[str, str], ...] = ()
     ) -> "Response":
-        """Return an answer with a JSON body."""
+        """Return a response with a JSON body."""
         body = msgspec.json.encode(value)
         return cls(status, body, (("Content-Type", JSON), *headers))
 
     @classmethod
     def from_refusal(cls, refusal: Refusal, **members: Any) -> "Response":
-        """Return a problem body with verdict and when to come back.
+        """Return a problem response with the verdict and the time to retry after.
 
         Parameters
         ----------
         refusal : Refusal
-            What went wrong.
+            Why the request was refused, and whether it may have run.
         **members
-            Further members of the problem body.
+            Further members of the ``application/problem+json`` body.
         """
         problem = {
             "title": refusal.reason.value.replace("_", " "),
@@ -68,11 +69,14 @@
     def ran(
         cls, status: int, body: bytes, headers: tuple[tuple[str, str], ...] = ()
     ) -> "Response":
-        """Return the answer of a target that ran the request."""
+        """Return the response of a target that ran the request."""
         return cls(status, body, ((VERDICT_HEADER, Verdict.RAN.value), *headers))
 
 
 def _whole_seconds(refusal: Refusal) -> str:
-    """Round up: a client that came back too early would be refused again."""
+    """Return the retry delay in whole seconds, at least 1.
+
+    The delay is rounded up: a client that retries too early is refused again.
+    """
     seconds = refusal.retry_after_seconds or 0.0
     return str(max(1, -int(-seconds // 1)))
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_server.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_server.py
@@ -1,4 +1,4 @@
-"""A cheroot server on a port of its own, running on a thread."""
+"""HTTP server that listens on one port and runs on a thread of its own."""
 
 import logging
 import sys
@@ -12,12 +12,12 @@
 
 
 class WebServer:
-    """One listening port.
+    """HTTP server on one port.
 
     Parameters
     ----------
     server : StrictServer
-        Prepared server.
+        Server whose port is already bound.
     """
 
     def __init__(self, server: StrictServer) -> None:
@@ -28,7 +28,10 @@
     def from_settings(
         cls, address: str, port: int, app: App, threads: int, limits: LimitSettings
     ) -> "WebServer":
-        """Bind the port; requests are answered after `start`."""
+        """Bind the port; requests are answered only after `start`.
+
+        Port 0 lets the operating system choose one.
+        """
         server = StrictServer(
             (address, port),
             app,
@@ -49,23 +52,24 @@
 
     @property
     def port(self) -> int:
-        """Port that the operating system gave or the settings asked for."""
+        """Bound port, also where the operating system has chosen it."""
         return self.server.bind_addr[1]
 
     def start(self) -> None:
-        """Answer requests from now on."""
+        """Start the thread that answers requests."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Close the port; requests under way get two seconds."""
+        """Close the port; requests in progress get two seconds to finish."""
         self.server.stop()
 
 
 def _log_failure(msg: str = "", level: int = 20, traceback: bool = False) -> None:
-    """Log what ended a connection, without cheroot's text, which quotes raw input.
+    """Log the exception that ended a connection, unless it is an OSError.
 
-    An answer's iterator that fails half-way ends here and nowhere else: dropped, a
-    fault that cuts streams would leave no trace.
+    The text of cheroot is left out, as it quotes raw input. An exception in the
+    iterator of a streamed response is reported only here: without this log record,
+    a fault that truncates responses would leave no trace.
     """
     exc = sys.exc_info()[1]
     if exc is None or isinstance(exc, OSError):
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_strict_connection.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_strict_connection.py
@@ -1,4 +1,4 @@
-"""A connection whose reads end at a deadline, for cheroot."""
+"""cheroot connection with one deadline for all reads of a request."""
 
 import socket
 import time
@@ -11,11 +11,11 @@
 
 
 class _DeadlineSocket:
-    """A socket whose reads together end at the connection's deadline.
+    """Socket wrapper whose reads fail after the deadline of the connection.
 
-    A socket's own timeout starts anew with each byte: a caller that sends one byte
-    every few seconds holds a thread for hours, and as many of them as there are
-    threads stop the host.
+    The timeout of a socket restarts with each byte: a caller that sends one byte
+    every few seconds would occupy a thread for hours, and as many such callers as
+    there are threads would block the host.
     """
 
     def __init__(self, sock: socket.socket, conn: "StrictConnection"):
@@ -23,7 +23,7 @@
         self._conn = conn
 
     def recv_into(self, *args: Any) -> int:
-        """Read; raises TimeoutError past the deadline."""
+        """Read into a buffer; raise TimeoutError past the deadline."""
         left = self._conn.read_until - time.monotonic()
         if left <= 0:
             raise TimeoutError("timed out")
@@ -39,12 +39,13 @@
 
 
 class StrictConnection(HTTPConnection):
-    """One caller's or peer's connection.
+    """Connection of a caller or of another host.
 
     Attributes
     ----------
     read_until : float
-        Monotonic time at which reading ends.
+        Deadline of all reads, in seconds of the monotonic clock. The request handler
+        moves it when a request and when its body begins.
     """
 
     RequestHandlerClass = StrictRequest
@@ -57,7 +58,7 @@
         server.count_connection(+1)
 
     def close(self) -> None:
-        """Close the socket; may be called again."""
+        """Close the socket; repeated calls count the connection only once."""
         if self._counted:
             self._counted = False
             self.server.count_connection(-1)
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_strict_request.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_strict_request.py
@@ -1,4 +1,4 @@
-"""A request read with the strict readers, for cheroot."""
+"""cheroot request handler with strict parsing, read deadlines and problem bodies."""
 
 import json
 import time
@@ -12,8 +12,10 @@
 from swifttide_daemon.web._header_reader import StrictHeaderReader
 
 BODY_TIMEOUT_FACTOR = 4
-"""A body may take so many times as long as the headers: 8 MiB in 120 s are 70 KB a
-second, which a tablet on a bad line still reaches."""
+"""Ratio of the time limit for reading a body to the one for reading the headers.
+
+8 MiB in 120 s are 70 KB/s, which a tablet on a bad connection still reaches.
+"""
 
 LAST_CHUNK = b"0\r\n\r\n"
 _MIN_SERVER_ERROR_STATUS = 500
@@ -27,12 +29,12 @@
 
 
 class StrictRequest(HTTPRequest):
-    """Reads one request; what it refuses is answered as a problem body.
+    """Parses and answers one request; refusals are sent as problem bodies.
 
     Notes
     -----
-    A connection whose request wasn't read to its end is closed: what is left would
-    be taken for the next request.
+    A connection whose request has not been read to its end is closed: the unread
+    bytes would be parsed as the next request.
     """
 
     header_reader = StrictHeaderReader()
@@ -42,21 +44,24 @@
         self._app_started = False
 
     def parse_request(self) -> None:
-        """Read request line and headers within the server's idle time."""
+        """Read request line and headers within the server's idle timeout."""
         self.conn.read_until = time.monotonic() + self.server.timeout
         super().parse_request()
 
     def read_request_headers(self) -> bool:
-        """Read the headers; a request in chunks needs HTTP/1.1."""
+        """Read the headers; refuse ``Transfer-Encoding`` below HTTP/1.1."""
         if not super().read_request_headers():
             return False
         if b"Transfer-Encoding" in self.inheaders and not self.chunked_read:
-            self.simple_response("400 Bad Request", "chunks need HTTP/1.1")
+            self.simple_response("400 Bad Request", "Transfer-Encoding needs HTTP/1.1")
             return False
         return True
 
     def respond(self) -> None:
-        """Run the application."""
+        """Run the application and send its response.
+
+        Reading the body is limited to `BODY_TIMEOUT_FACTOR` times the idle timeout.
+        """
         body_seconds = BODY_TIMEOUT_FACTOR * self.server.timeout
         self.conn.read_until = time.monotonic() + body_seconds
         self._app_started = True
@@ -71,18 +76,20 @@
             self.conn.wfile.write(LAST_CHUNK)
 
     def send_headers(self) -> None:
-        """Send status and headers."""
+        """Send status and headers; close connections that can't be reused."""
         if (b"Connection", b"close") in self.outheaders:
-            # cheroot writes the header and keeps the connection open all the same.
+            # cheroot sends this header but keeps the connection open.
             self.close_connection = True
         if self.chunked_read and not self.rfile.finished:
             self.close_connection = True
         super().send_headers()
 
     def simple_response(self, status: str, msg: str = "") -> None:
-        """Answer what never reached the application, and close the connection.
+        """Answer an error on behalf of cheroot, and close the connection.
 
-        cheroot answers in plain text and keeps some connections open.
+        cheroot calls this for errors outside of the application, such as malformed
+        requests. Its own version answers in plain text and keeps some connections
+        open.
         """
         self.close_connection = True
         code = int(str(status)[:3])
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/_strict_server.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/_strict_server.py
@@ -1,4 +1,4 @@
-"""A cheroot server with bounds on connections."""
+"""cheroot server that limits open connections and keeps idle ones off the threads."""
 
 import threading
 from typing import Any
@@ -21,16 +21,20 @@
 
 
 class StrictServer(wsgi.Server):
-    """Hands a connection to a thread once it has something to say.
+    """Server that hands a connection to a thread only once it has data to read.
 
-    cheroot gives every new connection to a thread at once, which then waits for
-    its first byte. Balancers and browsers open connections ahead of use: as many
-    silent ones as there are threads would stop the host for the idle time.
+    cheroot hands every new connection to a thread at once, which then waits for
+    the first byte. Load balancers and browsers open connections before they need
+    them: as many idle connections as there are threads would block the host for
+    the idle timeout.
 
     Attributes
     ----------
     max_connections : int
-        Connections open at once; the next ones are refused, not run.
+        Limit of open connections; further ones are answered with status 503 and
+        the verdict ``not_run``, and closed.
+    n_connections : int
+        Number of open connections.
     """
 
     ConnectionClass = StrictConnection
@@ -42,12 +46,16 @@
         self._count_lock = threading.Lock()
 
     def count_connection(self, change: int) -> None:
-        """Count a connection that was opened or closed."""
+        """Add `change` to the number of open connections: +1 opened, -1 closed."""
         with self._count_lock:
             self.n_connections += change
 
     def process_conn(self, conn: StrictConnection) -> None:
-        """Pass a connection on."""
+        """Pass on a connection that cheroot accepted or found readable.
+
+        A new connection is refused over the limit, else it is watched until its
+        first byte arrives. A used one goes to a thread.
+        """
         if conn.last_used is not None:
             super().process_conn(conn)
             return
@@ -58,7 +66,10 @@
 
 
 def _refuse(conn: StrictConnection) -> None:
-    """Answer and close; a new socket's buffer takes so few bytes without waiting."""
+    """Send the 503 response and close the connection.
+
+    The send never blocks: the response fits into the buffer of a new socket.
+    """
     try:
         conn.socket.settimeout(0)
         conn.socket.send(_TOO_MANY_CONNECTIONS_RESPONSE)
--- a/packages/swifttide_daemon/src/swifttide_daemon/web/tests/test_strict_server.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/web/tests/test_strict_server.py
@@ -1,4 +1,4 @@
-"""Bad input at a port, as the bytes that an attacker sends."""
+"""Tests of malformed and hostile input, sent as raw bytes to a listening port."""
 
 import json
 import socket
@@ -21,7 +21,7 @@
 
 
 def start(limits=LIMITS, before_body=None):
-    """Serve an application that tells which bodies reached it."""
+    """Start a server whose application records the bodies that reach it."""
     seen = []
 
     def echo(req):
@@ -67,7 +67,7 @@
 
 
 def receive_whole(sock):
-    """Read one echo answer to its end: head and body may come apart."""
+    """Read one echo response completely; head and body may arrive separately."""
     received = b""
     while not received.endswith(b"}"):
         received += sock.recv(4096)
@@ -75,7 +75,7 @@
 
 
 def exchange(server, data):
-    """Send bytes and return all that comes until the server closes."""
+    """Send bytes and return all that is received until the server closes."""
     with connect(server) as sock:
         sock.sendall(data)
         sock.shutdown(socket.SHUT_WR)
@@ -100,9 +100,11 @@
 
 
 class TestFraming:
-    """Between caller and host stands a balancer that shares its connections. Where
-    the two disagree on where a request ends, the rest of it runs as a request of
-    its own, after the next caller's headers.
+    """Tests against request smuggling.
+
+    The load balancer between callers and host shares its connections among callers.
+    Where balancer and host disagree on the end of a request, the rest of its bytes
+    runs as a request of its own, on behalf of the next caller.
     """
 
     @pytest.mark.parametrize(
@@ -172,7 +174,9 @@
         assert [b for _, b in server.seen] == [b"hello", b"helloyou", b""]
 
     def test_connection_close_drops_pipelined_request(self, server):
-        """A host that stops says so, and the balancer sends more all the same."""
+        """A stopping host answers ``Connection: close``, but the load balancer may
+        already have sent the next request.
+        """
         line = "GET /leave HTTP/1.1"
         answer = exchange(server, request(line=line) + SMUGGLED)
         assert answer.count(b"HTTP/1.1") == 1
@@ -210,8 +214,8 @@
         assert server.seen == []
 
     def test_silent_connections_take_no_thread(self, server):
-        """A balancer opens connections ahead of use. Were each given a thread, as
-        many as there are threads would stop the host.
+        """A load balancer opens connections before it needs them. If each occupied a
+        thread, as many idle connections as there are threads would block the host.
         """
         silent = [connect(server) for _ in range(LIMITS.caller_threads)]
         answer = exchange(server, request("Content-Length: 2", body=b"hi"))
@@ -220,8 +224,8 @@
             sock.close()
 
     def test_slow_headers_are_cut_off_at_deadline(self, server):
-        """A caller sends a byte now and then so that no read ever times out, and
-        holds a thread for as long as it likes.
+        """A caller that sends single bytes at short intervals never runs into the
+        timeout of a read, and could occupy a thread without limit.
         """
         with connect(server) as sock:
             sock.sendall(b"POST /echo HTTP/1.1\r\nX: ")
@@ -245,8 +249,8 @@
             assert sock.recv(10) == b""
 
     def test_too_many_connections(self):
-        """A client leaks connections. The host must go on for those that it has
-        and tell the others that nothing was run.
+        """A client leaks connections. The host must serve the connections below the
+        limit and refuse the others with the verdict that nothing was run.
         """
         limits = LimitSettings(max_connections=2, idle_seconds=30, caller_threads=2)
         server = start(limits)
@@ -269,8 +273,8 @@
 
 class TestUnauthenticatedBodies:
     def test_long_unauthenticated_body_is_not_read(self):
-        """Strangers send bodies of the permitted length on all threads at once, and
-        the host's memory is gone before any of them is told to go away.
+        """Unauthenticated callers that send bodies of the permitted length on all
+        threads at once would exhaust the host's memory before they are refused.
         """
         limits = LimitSettings(max_body_bytes=2**20, idle_seconds=5, caller_threads=2)
 
@@ -296,8 +300,8 @@
 
 class TestFailingAnswer:
     def test_fault_within_a_stream_is_logged(self, server, caplog):
-        """An answer's iterator fails after its first piece. The caller sees a cut
-        stream; without a line in the log nobody would know why.
+        """The iterator of a response fails after its first chunk. The caller gets a
+        truncated response; without a log record the cause would be lost.
         """
         answer = exchange(server, request(line="GET /broken HTTP/1.1"))
         assert b"first" in answer
@@ -330,8 +334,8 @@
         assert server.seen == []
 
     def test_refusals_repeat_no_input(self, server):
-        """A header with a key in it is malformed. The refusal stands in the
-        caller's log, the balancer's and ours.
+        """A malformed header contains a key. The refusal may end up in the logs of
+        the caller, the load balancer and the host, so it must not quote the key.
         """
         answer = exchange(server, request("Authorization: Bearer sk-1\x00"))
         assert b"sk-1" not in answer
