--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_event_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_event_limiter.py
@@ -7,7 +7,7 @@
 
 from swifttide_daemon.telemetry._json_formatter import FIELDS_ATTRIBUTE
 
-LINES_A_SECOND = 20
+DEFAULT_LINES_PER_SECOND = 20
 """Enough to see what goes wrong; a line takes some 12 us of processor time."""
 
 
@@ -32,7 +32,7 @@
         Lines of one event within a second.
     """
 
-    lines_per_second: int = LINES_A_SECOND
+    lines_per_second: int = DEFAULT_LINES_PER_SECOND
     _windows: dict[str, _Window] = field(default_factory=dict)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_event_log.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_event_log.py
@@ -65,7 +65,7 @@
         logger = logging.getLogger("swifttide")
         logger.setLevel(level)
         found = cls(logger)
-        threading.excepthook = found._log_dead_thread
+        threading.excepthook = found._log_thread_exception
         return found
 
     def debug(self, event: str, **fields: object) -> None:
@@ -100,7 +100,7 @@
         exc = sys.exc_info()[1] if traceback else None
         self._write(max(level, logging.WARNING), "server", {"detail": msg}, exc)
 
-    def _log_dead_thread(self, args: threading.ExceptHookArgs) -> None:
+    def _log_thread_exception(self, args: threading.ExceptHookArgs) -> None:
         """Log a thread that died.
 
         A service's thread that dies, such as the one that renews the lease, is seen
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_file_exporter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_file_exporter.py
@@ -13,7 +13,7 @@
 MAX_FILE_BYTES = 64 * 1024 * 1024
 """At this size the file becomes ``<path>.1``; two of them are kept at most."""
 
-NANOSECONDS = 1e9
+NANOSECONDS_PER_SECOND = 1e9
 
 
 def span_line(span: ReadableSpan) -> bytes:
@@ -24,8 +24,10 @@
         "span_id": f"{context.span_id:016x}",
         "parent_id": f"{span.parent.span_id:016x}" if span.parent else "",
         "name": span.name,
-        "start_seconds": span.start_time / NANOSECONDS,
-        "duration_seconds": round((span.end_time - span.start_time) / NANOSECONDS, 6),
+        "start_seconds": span.start_time / NANOSECONDS_PER_SECOND,
+        "duration_seconds": round(
+            (span.end_time - span.start_time) / NANOSECONDS_PER_SECOND, 6
+        ),
         "error": span.status.description or "",
         **dict(span.resource.attributes),
         **dict(span.attributes or {}),
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_json_formatter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_json_formatter.py
@@ -10,7 +10,7 @@
 FIELDS_ATTRIBUTE = "swifttide_fields"
 """Attribute of a record that holds the fields of an event."""
 
-_STANDARD = frozenset(
+_STANDARD_ATTRIBUTES = frozenset(
     {*logging.makeLogRecord({}).__dict__, "message", "taskName", FIELDS_ATTRIBUTE}
 )
 """Attributes that every record has; what else one has came as ``extra``."""
@@ -54,7 +54,7 @@
 
 def _extra(record: logging.LogRecord) -> dict[str, object]:
     own = record.__dict__
-    return {name: own[name] for name in own if name not in _STANDARD}
+    return {name: own[name] for name in own if name not in _STANDARD_ATTRIBUTES}
 
 
 def _describe_exception(exc_info: tuple) -> dict[str, object]:
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_masking.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_masking.py
@@ -3,7 +3,7 @@
 import re
 
 MASK = "[hidden]"
-LONGEST_VALUE = 512
+MAX_VALUE_CHARACTERS = 512
 """Characters of a value; a caller could fill the log with one header otherwise."""
 
 _HIDDEN_FIELDS = frozenset(
@@ -14,7 +14,7 @@
 
 
 def mask_keys(text: str) -> str:
-    """Return a text with credentials blotted out and cut to `LONGEST_VALUE`.
+    """Return a text with credentials blotted out and cut to `MAX_VALUE_CHARACTERS`.
 
     Libraries put what they choke on into their messages: ``http.client`` repeats a
     header value that holds a line break. The key would then stand in the log of
@@ -22,7 +22,11 @@
     """
     text = _CREDENTIALS.sub(rf"\1 {MASK}", text)
     text = _URL_USER.sub(f"//{MASK}@", text)
-    return text if len(text) <= LONGEST_VALUE else f"{text[:LONGEST_VALUE]}..."
+    return (
+        text
+        if len(text) <= MAX_VALUE_CHARACTERS
+        else f"{text[:MAX_VALUE_CHARACTERS]}..."
+    )
 
 
 def mask_field(name: str, value: object) -> object:
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_metrics.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_metrics.py
@@ -12,16 +12,16 @@
 from swifttide_daemon.telemetry._worst_served import WorstServed
 
 INF = float("inf")
-PROGRAM_BUCKETS = (1.0, 5.0, 15.0, 60.0, 300.0, 900.0, 3600.0, INF)
+PROGRAM_BUCKETS_SECONDS = (1.0, 5.0, 15.0, 60.0, 300.0, 900.0, 3600.0, INF)
 """Seconds; a program of 84 turns takes minutes."""
 
-WAIT_BUCKETS = (0.005, 0.02, 0.076, 0.25, 0.76, 2.0, 5.0, 15.0, INF)
+WAIT_BUCKETS_SECONDS = (0.005, 0.02, 0.076, 0.25, 0.76, 2.0, 5.0, 15.0, INF)
 """Seconds; 0.76 is the aim for the first token, 0.076 a tenth of it."""
 
-GAP_BUCKETS = (0.02, 0.04, 0.072, 0.15, 0.5, 2.0, INF)
+TOKEN_GAP_BUCKETS_SECONDS = (0.02, 0.04, 0.072, 0.15, 0.5, 2.0, INF)
 """Seconds; 0.072 is the aim between tokens."""
 
-OURS = frozenset(
+FLEET_REASONS = frozenset(
     {
         Reason.QUEUE_FULL,
         Reason.DEADLINE,
@@ -94,10 +94,10 @@
             As the caller got them.
         within_rate : bool
             Whether the customer was inside its rate. If so, and if the reason is
-            one of `OURS`, it is a wrongful refusal.
+            one of `FLEET_REASONS`, it is a wrongful refusal.
         """
         self._refused.add(reason=str(reason), verdict=str(verdict))
-        if not within_rate or reason not in OURS:
+        if not within_rate or reason not in FLEET_REASONS:
             return
         self._wrongful.add(reason=str(reason))
         if customer:
@@ -172,7 +172,7 @@
         self._program_latency = self._histogram(
             "swifttide_program_latency_seconds",
             "From a program's first call to its last answer, by profile.",
-            PROGRAM_BUCKETS,
+            PROGRAM_BUCKETS_SECONDS,
         )
         self._wasted = self._counter(
             "swifttide_wasted_cache_tokens_total",
@@ -193,12 +193,12 @@
         self._first_token = self._histogram(
             "swifttide_first_token_seconds",
             "From a request's arrival to its first token.",
-            WAIT_BUCKETS,
+            WAIT_BUCKETS_SECONDS,
         )
         self._token_gap = self._histogram(
             "swifttide_longest_token_gap_seconds",
             "Longest gap between two tokens of a stream.",
-            GAP_BUCKETS,
+            TOKEN_GAP_BUCKETS_SECONDS,
         )
 
     def _create_decisions(self) -> None:
@@ -208,7 +208,7 @@
         self._queued = self._histogram(
             "swifttide_queued_seconds",
             "Wait of admitted requests, by target.",
-            WAIT_BUCKETS,
+            WAIT_BUCKETS_SECONDS,
         )
         self._refused = self._counter(
             "swifttide_refused_total", "Refusals, by reason and verdict."
@@ -219,7 +219,7 @@
         self._platform = self._histogram(
             "swifttide_platform_seconds",
             "Calls to the platform, by operation and outcome.",
-            WAIT_BUCKETS,
+            WAIT_BUCKETS_SECONDS,
         )
 
     def _create_states(self) -> None:
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_non_blocking_handler.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_non_blocking_handler.py
@@ -6,7 +6,7 @@
 from swifttide_daemon.telemetry._event_limiter import EventLimiter, LimitFilter
 from swifttide_daemon.telemetry._json_formatter import JsonFormatter
 
-LINES_A_SECOND = 60
+MAX_EVENT_LINES_PER_SECOND = 60
 """Lines of one event a second: four times what a host of a dozen logs on a usual day,
 so that a request can still be followed at twice the usual traffic."""
 
@@ -33,19 +33,19 @@
         os.set_blocking(fd, False)
         self.n_dropped = 0
         self._fd = fd
-        self._rest = b""
+        self._unwritten = b""
 
     @classmethod
     def for_host(cls, host: str, zone: str, fd: int) -> "NonBlockingHandler":
         """Create a handler that writes JSON lines, bounded by event."""
         handler = cls(fd)
         handler.setFormatter(JsonFormatter(host, zone))
-        handler.addFilter(LimitFilter(EventLimiter(LINES_A_SECOND)))
+        handler.addFilter(LimitFilter(EventLimiter(MAX_EVENT_LINES_PER_SECOND)))
         return handler
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write a record."""
-        if self._rest and not self._write(self._rest):
+        if self._unwritten and not self._write(self._unwritten):
             self.n_dropped += 1
             return
         self._write(self.format(record).encode() + b"\n")
@@ -55,13 +55,13 @@
         try:
             n_written = os.write(self._fd, data)
         except BlockingIOError:
-            if data is not self._rest:
+            if data is not self._unwritten:
                 self.n_dropped += 1
             return False
         except OSError:
             # Nobody will read it any more; there is no other place to say so.
             self.n_dropped += 1
-            self._rest = b""
+            self._unwritten = b""
             return False
-        self._rest = data[n_written:]
-        return not self._rest
+        self._unwritten = data[n_written:]
+        return not self._unwritten
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_series.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_series.py
@@ -12,7 +12,7 @@
 
 OTHER = "other"
 _UNSAFE = re.compile(r"[^A-Za-z0-9._:/-]")
-_LONGEST_LABEL = 64
+_MAX_LABEL_CHARACTERS = 64
 
 
 @dataclass(slots=True)
@@ -40,14 +40,14 @@
     def add(self, value: float = 1, **labels: str) -> None:
         """Add to a counter, or observe in a histogram."""
         with self.lock:
-            self.collector.add(self._safe(labels), value)
+            self.collector.add(self._safe_labels(labels), value)
 
     def set(self, value: float, **labels: str) -> None:
         """Set a gauge."""
         with self.lock:
-            self.collector.set(self._safe(labels), value)
+            self.collector.set(self._safe_labels(labels), value)
 
-    def _safe(self, labels: Mapping[str, str]) -> dict[str, str]:
+    def _safe_labels(self, labels: Mapping[str, str]) -> dict[str, str]:
         values = tuple(labels.values())
         found = self._known.get(values)
         if found is not None:
@@ -60,4 +60,4 @@
 
 
 def _safe_value(value: str) -> str:
-    return _UNSAFE.sub("_", str(value))[:_LONGEST_LABEL]
+    return _UNSAFE.sub("_", str(value))[:_MAX_LABEL_CHARACTERS]
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_traceparent.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_traceparent.py
@@ -8,8 +8,10 @@
 import re
 from dataclasses import dataclass
 
-_FORM = re.compile(r"([0-9a-f]{2})-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})(-.*)?")
-_SAMPLED = 0x01
+_HEADER_PATTERN = re.compile(
+    r"([0-9a-f]{2})-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})(-.*)?"
+)
+_SAMPLED_FLAG = 0x01
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +38,7 @@
 
         A wrong header starts a new trace instead of failing the request.
         """
-        found = _FORM.fullmatch(value)
+        found = _HEADER_PATTERN.fullmatch(value)
         if found is None:
             return None
         version, trace_id, span_id, flags, rest = found.groups()
@@ -44,10 +46,10 @@
             return None
         if int(trace_id, 16) == 0 or int(span_id, 16) == 0:
             return None
-        sampled = bool(int(flags, 16) & _SAMPLED)
+        sampled = bool(int(flags, 16) & _SAMPLED_FLAG)
         return cls(int(trace_id, 16), int(span_id, 16), sampled)
 
     def to_header(self) -> str:
         """Return the header of version 00."""
-        flags = _SAMPLED if self.sampled else 0
+        flags = _SAMPLED_FLAG if self.sampled else 0
         return f"00-{self.trace_id:032x}-{self.span_id:016x}-{flags:02x}"
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_worst_served.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_worst_served.py
@@ -7,7 +7,7 @@
 """Customers remembered; those silent for longest are forgotten first. 7,900
 customers over 380 hosts are some 21 a host, and 790 over the 10 hosts of today."""
 
-SMOOTHING = 0.2
+SMOOTHING_WEIGHT = 0.2
 """Weight of the newest request: the average covers some ten requests."""
 
 MIN_REQUESTS = 5
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class _Service:
+class _CustomerAverages:
     n_requests: int = 0
     served_ratio: float = 1.0
     latency_seconds: float = 0.0
@@ -29,22 +29,22 @@
     that names nobody says whether somebody fares badly, and the log says who.
     """
 
-    _customers: OrderedDict[str, _Service] = field(default_factory=OrderedDict)
+    _customers: OrderedDict[str, _CustomerAverages] = field(default_factory=OrderedDict)
 
     def record_request(self, customer: str, served: bool) -> None:
         """Count a request that was within the customer's rate."""
-        service = self._service(customer)
+        service = self._averages_of(customer)
         service.n_requests += 1
-        step = SMOOTHING * (float(served) - service.served_ratio)
+        step = SMOOTHING_WEIGHT * (float(served) - service.served_ratio)
         service.served_ratio += step
 
     def record_program(self, customer: str, latency_seconds: float) -> None:
         """Count a program that ended, with its latency."""
-        service = self._service(customer)
+        service = self._averages_of(customer)
         if service.latency_seconds == 0.0:
             service.latency_seconds = latency_seconds
             return
-        step = SMOOTHING * (latency_seconds - service.latency_seconds)
+        step = SMOOTHING_WEIGHT * (latency_seconds - service.latency_seconds)
         service.latency_seconds += step
 
     @property
@@ -63,8 +63,8 @@
         known = [s.latency_seconds for s in self._customers.values()]
         return max(known, default=0.0)
 
-    def _service(self, customer: str) -> _Service:
-        service = self._customers.setdefault(customer, _Service())
+    def _averages_of(self, customer: str) -> _CustomerAverages:
+        service = self._customers.setdefault(customer, _CustomerAverages())
         self._customers.move_to_end(customer)
         if len(self._customers) > MAX_CUSTOMERS:
             self._customers.popitem(last=False)
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_event_log.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_event_log.py
@@ -56,13 +56,13 @@
             "verdict": "not_run",
         }
 
-    def test_requests_that_went_well_are_quiet_by_default(self, stream):
+    def test_served_requests_are_not_logged_by_default(self, stream):
         make_log(stream).debug("request_served")
         assert stream.getvalue() == ""
         make_log(stream, "debug").debug("request_served")
         assert len(lines(stream)) == 1
 
-    def test_flood_of_one_event_is_bounded(self, stream):
+    def test_lines_of_one_event_are_limited(self, stream):
         """Overload refuses hundreds of requests a second, each with a line. The
         host would spend on its log what it lacks for its callers.
         """
@@ -106,7 +106,7 @@
         assert found[3]["event"] == "target 3 failed"
         assert found[3]["request_id"] == "r3"
 
-    def test_thread_that_dies(self, stream):
+    def test_exception_that_ends_a_thread_is_logged(self, stream):
         """A thread of a service dies of a fault. Its traceback on stderr would be
         lost on whoever reads the log as JSON lines.
         """
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_metrics.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_metrics.py
@@ -56,7 +56,7 @@
         wrongful = 'swifttide_wrongful_refusals_total{reason="queue_full"}'
         assert found[wrongful] == 1
 
-    def test_wrong_requests_are_refused_rightly(self):
+    def test_bad_requests_are_not_wrongful_refusals(self):
         """A client sends broken bodies. Counted as badly served, its customer would
         hide one that is.
         """
@@ -96,7 +96,7 @@
         assert len(counted) == MAX_SERIES + 1
         assert counted[name + '{profile="other"}'] == 100
 
-    def test_threads_lose_no_count(self):
+    def test_concurrent_increments_are_all_counted(self):
         metrics = make_metrics()
         with ThreadPoolExecutor(8) as pool:
             for _ in range(8):
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_non_blocking_handler.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_non_blocking_handler.py
@@ -24,7 +24,7 @@
             "t1",
         )
 
-    def test_reader_that_does_not_read_stops_nobody(self):
+    def test_full_pipe_drops_lines_without_blocking(self):
         """The pipe behind standard output is full.
 
         A write that waits would stop the host. Lines are dropped and counted, and
@@ -48,7 +48,7 @@
         assert lines[-1] == "after"
         assert all(line.endswith("x") for line in lines[:-2])
 
-    def test_one_event_is_bounded(self):
+    def test_lines_of_one_event_are_limited(self):
         reading, writing = os.pipe()
         log = self.logger(NonBlockingHandler.for_host("h1", "z1", writing))
         for _ in range(500):
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_tracer.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_tracer.py
@@ -60,7 +60,7 @@
             pass
         assert lines(tmp_path)[0]["parent_id"] == ""
 
-    def test_context_passes_where_no_traces_are_written(self, tmp_path):
+    def test_context_is_passed_on_without_exporter(self, tmp_path):
         with Tracer.from_settings(settings(tmp_path)).span("entry", PARENT) as span:
             assert span.traceparent == PARENT
             span.set(verdict="ran")
