--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""What a host tells about itself: logs, metrics and traces."""
+"""Observability of a host: logs, metrics and traces."""
 
 from swifttide_daemon.telemetry._event_log import EventLog
 from swifttide_daemon.telemetry._masking import mask_keys
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_event_limiter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_event_limiter.py
@@ -1,4 +1,8 @@
-"""A bound on the lines that one kind of event writes."""
+"""Rate limit of log lines per event.
+
+Lines of one event beyond the limit within a second are dropped and counted; the next
+line that is written carries their number in the field ``suppressed``.
+"""
 
 import logging
 import threading
@@ -8,7 +12,10 @@
 from swifttide_daemon.telemetry._json_formatter import FIELDS_ATTRIBUTE
 
 DEFAULT_LINES_PER_SECOND = 20
-"""Enough to see what goes wrong; a line takes some 12 us of processor time."""
+"""Default limit of lines per event and second.
+
+It leaves enough lines to diagnose a fault; a line takes some 12 us of CPU time.
+"""
 
 
 @dataclass(slots=True)
@@ -20,16 +27,16 @@
 
 @dataclass(slots=True)
 class EventLimiter:
-    """Counts the lines of each event and says which are left out.
+    """Limits the number of log lines of each event per second.
 
-    Load pattern: overload, where every second request is refused. Without a bound
-    each refusal writes a line, and the host spends on its log what it lacks for
-    requests; a pipe behind stderr that is read slowly then stalls every thread.
+    The limit matters under overload, when every second request is refused. Without
+    it, each refusal would write a line, and logging would take CPU time that the host
+    needs for requests; a slowly read pipe behind stderr would then block every thread.
 
     Parameters
     ----------
     lines_per_second : int
-        Lines of one event within a second.
+        Limit of lines of one event within a second.
     """
 
     lines_per_second: int = DEFAULT_LINES_PER_SECOND
@@ -37,13 +44,13 @@
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def allow(self, event: str) -> int | None:
-        """Decide on a line.
+        """Decide whether a line of an event is written.
 
         Returns
         -------
         int or None
-            Lines of this event left out since the last one written; None when
-            this one is left out too.
+            Number of lines of this event dropped since the last one written; None
+            if this line is dropped too.
         """
         now = time.monotonic()
         with self._lock:
@@ -61,12 +68,12 @@
 
 
 class LimitFilter(logging.Filter):
-    """Applies the bound to every record of a handler, those of libraries too.
+    """Applies an `EventLimiter` to all records of a handler, also of libraries.
 
     Parameters
     ----------
     limiter : EventLimiter
-        Counts by the record's text before its arguments are put in.
+        Counts records by their message before the arguments are formatted in.
     """
 
     def __init__(self, limiter: EventLimiter):
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_event_log.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_event_log.py
@@ -1,4 +1,4 @@
-"""The daemon's log: one JSON line an event."""
+"""Structured log of the daemon: one JSON line per event."""
 
 import logging
 import sys
@@ -21,18 +21,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EventLog:
-    """Writes events with named fields.
+    """Logs events with named fields.
 
     Parameters
     ----------
     logger : logging.Logger
-        Where records go.
+        Logger that receives the records.
 
     Notes
     -----
     The usual fields are ``customer``, ``program``, ``turn``, ``request_id``,
     ``verdict``, ``reason``, ``target``, ``peer``, ``slot``. Values of fields named
-    after credentials are hidden, and credentials within texts blotted out.
+    after credentials are replaced, and credentials within texts masked.
 
     Examples
     --------
@@ -43,14 +43,16 @@
 
     @classmethod
     def from_settings(cls, cfg: Settings, stream: TextIO | None = None) -> "EventLog":
-        """Set up the process's logging.
+        """Set up logging for the whole process.
+
+        This replaces the handlers of the root logger and ``threading.excepthook``.
 
         Parameters
         ----------
         cfg : Settings
-            Gives host, zone and level.
+            Settings with the host, its zone and the log level.
         stream : file object or None
-            Where lines go; None takes stderr.
+            Output of the lines; None for stderr.
         """
         level = _LEVELS[cfg.log.level]
         handler = logging.StreamHandler(stream or sys.stderr)
@@ -69,31 +71,32 @@
         return found
 
     def debug(self, event: str, **fields: object) -> None:
-        """Log what goes well, such as a request that was served."""
+        """Log normal operation, such as a request that was served."""
         self._write(logging.DEBUG, event, fields)
 
     def info(self, event: str, **fields: object) -> None:
-        """Log what an operator wants to know later."""
+        """Log an event that an operator may need to know later."""
         self._write(logging.INFO, event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Log what the host deals with on its own, such as a lost peer."""
+        """Log a problem that the host handles itself, such as a lost peer."""
         self._write(logging.WARNING, event, fields)
 
     def error(self, event: str, exc: BaseException | None = None, **fields) -> None:
-        """Log what should not happen.
+        """Log a fault, such as an unexpected exception.
 
         Parameters
         ----------
         event : str
             Name of the event.
         exc : BaseException or None
-            Its type, message and places are added, never values of variables.
+            Exception whose type, message and code locations are added, but never
+            values of variables.
         """
         self._write(logging.ERROR, event, fields, exc)
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False):
-        """Take messages of a cheroot server, as its ``error_log``.
+        """Log a message of a cheroot server; for use as its ``error_log``.
 
         cheroot would write tracebacks with source lines straight to stderr.
         """
@@ -101,11 +104,11 @@
         self._write(max(level, logging.WARNING), "server", {"detail": msg}, exc)
 
     def _log_thread_exception(self, args: threading.ExceptHookArgs) -> None:
-        """Log a thread that died.
+        """Log an exception that ended a thread.
 
-        A service's thread that dies, such as the one that renews the lease, is seen
-        much later and elsewhere. The usual traceback on stderr isn't JSON: whoever
-        reads the log by its lines misses it.
+        If a background thread ends, such as the one that renews the lease, the effects
+        show much later and elsewhere. The default traceback on stderr isn't JSON and
+        is missed by programs that read the log line by line.
         """
         name = args.thread.name if args.thread else ""
         self.error("thread_died", args.exc_value, thread=name)
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_file_exporter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_file_exporter.py
@@ -1,4 +1,4 @@
-"""Spans as JSON lines, for places without a collector."""
+"""Span exporters that write JSON lines, for use without a trace collector."""
 
 import os
 import sys
@@ -11,7 +11,7 @@
 from opentelemetry.sdk.trace.export import SpanExporter, SpanExportResult
 
 MAX_FILE_BYTES = 64 * 1024 * 1024
-"""At this size the file becomes ``<path>.1``; two of them are kept at most."""
+"""Size at which the file is renamed to ``<path>.1``; at most two files are kept."""
 
 NANOSECONDS_PER_SECOND = 1e9
 
@@ -36,15 +36,15 @@
 
 
 class FileExporter(SpanExporter):
-    """Appends spans to a file, one host a file.
+    """Appends spans to a file; each host has a file of its own.
 
     Parameters
     ----------
     path : str
-        File; created when it is absent.
+        Path of the file, which is created if missing.
     max_bytes : int
-        Size at which it is set aside. Without a bound a host with a small file
-        system fills it, and whatever else writes there fails.
+        Size in bytes at which the file is rotated. Without a limit, traces would
+        fill a small file system, and other writes to it would fail.
     """
 
     def __init__(self, path: str, max_bytes: int = MAX_FILE_BYTES):
@@ -54,7 +54,7 @@
         self._fd = self._open()
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Write spans; a failure to write never fails the request."""
+        """Write spans; a failed write never makes the request fail."""
         data = b"".join(span_line(s) for s in spans)
         try:
             with self._lock:
@@ -82,14 +82,14 @@
 
 
 class ConsoleExporter(SpanExporter):
-    """Writes spans to stdout; the log goes to stderr."""
+    """Writes spans to stdout, while the log goes to stderr."""
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Write spans."""
+        """Write spans and flush stdout."""
         text = b"".join(span_line(s) for s in spans).decode()
         sys.stdout.write(text)
         sys.stdout.flush()
         return SpanExportResult.SUCCESS
 
     def shutdown(self) -> None:
-        """Leave stdout open for others."""
+        """Do nothing: stdout stays open for other users."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_json_formatter.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_json_formatter.py
@@ -1,4 +1,4 @@
-"""One JSON line for each log record."""
+"""Formatting of log records as JSON lines, with credentials masked."""
 
 import logging
 from datetime import UTC, datetime
@@ -8,23 +8,23 @@
 from swifttide_daemon.telemetry._masking import mask_field, mask_keys
 
 FIELDS_ATTRIBUTE = "swifttide_fields"
-"""Attribute of a record that holds the fields of an event."""
+"""Attribute of a log record that holds the fields of an event."""
 
 _STANDARD_ATTRIBUTES = frozenset(
     {*logging.makeLogRecord({}).__dict__, "message", "taskName", FIELDS_ATTRIBUTE}
 )
-"""Attributes that every record has; what else one has came as ``extra``."""
+"""Attributes of every log record; any others were passed as ``extra``."""
 
 
 class JsonFormatter(logging.Formatter):
-    """Formats records of the daemon and of its libraries alike.
+    """Formats records of the daemon and of its libraries as JSON lines.
 
     Parameters
     ----------
     host : str
-        Id of the host, in every line.
+        Id of the host, written in every line.
     zone : str
-        Its availability zone.
+        Availability zone of the host, written in every line.
     """
 
     def __init__(self, host: str, zone: str):
@@ -58,9 +58,10 @@
 
 
 def _describe_exception(exc_info: tuple) -> dict[str, object]:
-    """Return type, message and place of an exception.
+    """Return type, message and code locations of an exception.
 
-    The traceback is cut to places: its source lines and reprs may hold values.
+    Of the traceback only function names and line numbers of the eight innermost frames
+    are kept, as source lines and reprs may contain confidential values.
     """
     kind, exc, traceback = exc_info
     places = []
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_masking.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_masking.py
@@ -1,10 +1,14 @@
-"""Keys never reach an output, also where a message repeats what came in."""
+"""Masking of credentials in logs and traces.
+
+Messages may quote input that contains API keys. The functions of this module are
+applied to all texts before they are written.
+"""
 
 import re
 
 MASK = "[hidden]"
 MAX_VALUE_CHARACTERS = 512
-"""Characters of a value; a caller could fill the log with one header otherwise."""
+"""Limit of characters per value; one long header could otherwise fill the log."""
 
 _HIDDEN_FIELDS = frozenset(
     {"authorization", "cookie", "key", "password", "secret", "token", "x_peer_proof"}
@@ -14,11 +18,11 @@
 
 
 def mask_keys(text: str) -> str:
-    """Return a text with credentials blotted out and cut to `MAX_VALUE_CHARACTERS`.
+    """Return a text with credentials masked, cut to `MAX_VALUE_CHARACTERS`.
 
-    Libraries put what they choke on into their messages: ``http.client`` repeats a
-    header value that holds a line break. The key would then stand in the log of
-    every host that the request passed.
+    Libraries quote invalid input in their messages: ``http.client`` repeats a header
+    value that contains a line break. Without masking, the key would be written to the
+    log of every host that the request passes.
     """
     text = _CREDENTIALS.sub(rf"\1 {MASK}", text)
     text = _URL_USER.sub(f"//{MASK}@", text)
@@ -30,7 +34,7 @@
 
 
 def mask_field(name: str, value: object) -> object:
-    """Return the value of a named field as it may be written."""
+    """Return the value of a field for output, masked if its name is a credential's."""
     if name.lower().replace("-", "_") in _HIDDEN_FIELDS:
         return MASK
     if value is None or isinstance(value, bool | int | float):
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_metrics.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_metrics.py
@@ -1,4 +1,8 @@
-"""Metrics of one host: the users' four measures, and each decision."""
+"""Metrics of one host in the Prometheus text format.
+
+They cover the four measures of service that users see, each decision about a request,
+and gauges of the state of the host.
+"""
 
 import threading
 from collections.abc import Callable
@@ -13,13 +17,13 @@
 
 INF = float("inf")
 PROGRAM_BUCKETS_SECONDS = (1.0, 5.0, 15.0, 60.0, 300.0, 900.0, 3600.0, INF)
-"""Seconds; a program of 84 turns takes minutes."""
+"""Bucket bounds of program latencies; a program of 84 turns takes minutes."""
 
 WAIT_BUCKETS_SECONDS = (0.005, 0.02, 0.076, 0.25, 0.76, 2.0, 5.0, 15.0, INF)
-"""Seconds; 0.76 is the aim for the first token, 0.076 a tenth of it."""
+"""Bucket bounds of waits; 0.76 s is the target for the first token, 0.076 s a tenth."""
 
 TOKEN_GAP_BUCKETS_SECONDS = (0.02, 0.04, 0.072, 0.15, 0.5, 2.0, INF)
-"""Seconds; 0.072 is the aim between tokens."""
+"""Bucket bounds of gaps between tokens; the objective is 0.072 s."""
 
 FLEET_REASONS = frozenset(
     {
@@ -34,8 +38,11 @@
         Reason.INTERNAL,
     }
 )
-"""Reasons that lie with the fleet. A wrong body, a used-up budget or a key that was
-withdrawn is a right refusal, whatever the customer's rate."""
+"""Refusal reasons that are caused by the fleet, not by the request.
+
+Refusing an invalid body, an exhausted budget or a revoked key is correct whatever the
+customer's rate.
+"""
 
 LEASE_STATES = ("held", "lapsed", "released")
 
@@ -43,20 +50,20 @@
 
 
 class Metrics:
-    """Counts what the host decided.
+    """Counters, histograms and gauges of one host.
 
     Parameters
     ----------
     host : str
-        Id of the host, a label of every series.
+        Id of the host, which is a label of every series.
     zone : str
-        Its availability zone, likewise.
+        Availability zone of the host, also a label of every series.
 
     Notes
     -----
-    Rendering needs no event loop: the library's registry and text format are used
-    without its asyncio service. `on_render` takes functions that set gauges just
-    before a scrape, so that queues cost nothing on a request's path.
+    Rendering needs no event loop: the registry and the text format of aioprometheus
+    are used without its asyncio service. `on_render` registers functions that set
+    gauges just before a scrape, so that gauges of queues add no cost to requests.
     """
 
     def __init__(self, host: str, zone: str):
@@ -75,7 +82,7 @@
         return cls(cfg.host, cfg.zone)
 
     def admit(self, customer: str, target: str, queued_seconds: float) -> None:
-        """Count a request that was let through to a target."""
+        """Count a request that was admitted to a target."""
         self._admitted.add(target=target)
         self._queued.add(float(queued_seconds), target=target)
         with self._lock:
@@ -89,12 +96,12 @@
         Parameters
         ----------
         customer : str
-            Empty when no key told it.
+            Customer of the request; empty if no key identified it.
         reason, verdict
-            As the caller got them.
+            Reason and verdict that were sent to the caller.
         within_rate : bool
-            Whether the customer was inside its rate. If so, and if the reason is
-            one of `FLEET_REASONS`, it is a wrongful refusal.
+            Whether the customer was within its rate. If so, and if the reason is
+            one of `FLEET_REASONS`, the refusal counts as wrongful.
         """
         self._refused.add(reason=str(reason), verdict=str(verdict))
         if not within_rate or reason not in FLEET_REASONS:
@@ -105,17 +112,17 @@
                 self._worst.record_request(customer, served=False)
 
     def end_program(self, customer: str, profile: str, latency_seconds: float) -> None:
-        """Count a program that ended, from its first call to its last answer."""
+        """Count a finished program; latency is from first call to last response."""
         self._program_latency.add(float(latency_seconds), profile=profile)
         with self._lock:
             self._worst.record_program(customer, latency_seconds)
 
     def waste_cache(self, tokens: int, cause: str) -> None:
-        """Count prompt tokens computed again that a target had held before."""
+        """Count prompt tokens that are recomputed although a target had cached them."""
         self._wasted.add(tokens, cause=cause)
 
     def retry(self, at: str) -> None:
-        """Count another try of the same request, ``at`` target, peer or platform."""
+        """Count a retry of a request, ``at`` target, peer or platform."""
         self._retries.add(at=at)
 
     def observe_first_token(self, seconds: float) -> None:
@@ -137,7 +144,7 @@
             self._lease.set(int(known == state), state=known)
 
     def set_config_version(self, version: int) -> None:
-        """Set the configuration's version that is in force here."""
+        """Set the version of the configuration that this host applies."""
         self._config_version.set(version)
 
     def set_slots_held(self, n_slots: int) -> None:
@@ -145,15 +152,15 @@
         self._slots.set(n_slots)
 
     def set_queue(self, target: str, n_requests: int) -> None:
-        """Set the requests waiting for a target."""
+        """Set the number of requests that wait for a target."""
         self._queue.set(n_requests, target=target)
 
     def set_cache_held(self, target: str, n_bytes: int) -> None:
-        """Set the cache that programs of this host hold at a target."""
+        """Set the bytes of cache that programs of this host hold at a target."""
         self._cache.set(n_bytes, target=target)
 
     def on_render(self, callback: Callable[[], None]) -> None:
-        """Call a function before each scrape."""
+        """Register a function to call before each scrape."""
         self._before_render.append(callback)
 
     def render(self) -> tuple[bytes, str]:
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_non_blocking_handler.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_non_blocking_handler.py
@@ -1,4 +1,4 @@
-"""Log lines to a pipe that may not be read."""
+"""Log handler that drops lines instead of blocking on a full pipe."""
 
 import logging
 import os
@@ -7,25 +7,28 @@
 from swifttide_daemon.telemetry._json_formatter import JsonFormatter
 
 MAX_EVENT_LINES_PER_SECOND = 60
-"""Lines of one event a second: four times what a host of a dozen logs on a usual day,
-so that a request can still be followed at twice the usual traffic."""
+"""Limit of lines of one event per second.
+
+It is four times the rate of a host in a fleet of a dozen at usual load, so that single
+requests can still be followed at twice the usual traffic.
+"""
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes each line at once or drops it.
+    """Writes each line without blocking, or drops it.
 
-    Whoever reads the log may stop reading. A write that waits would then stop the
-    whole host, which answers its callers on the same thread.
+    The reader of the log may stop reading. A blocking write would then stop the whole
+    host, which answers its callers on the same thread.
 
     Parameters
     ----------
     fd : int
-        Where lines go; set to not block.
+        File descriptor for the lines; it is set to non-blocking mode.
 
     Attributes
     ----------
     n_dropped : int
-        Lines that didn't fit.
+        Number of lines dropped because they could not be written.
     """
 
     def __init__(self, fd: int):
@@ -37,21 +40,24 @@
 
     @classmethod
     def for_host(cls, host: str, zone: str, fd: int) -> "NonBlockingHandler":
-        """Create a handler that writes JSON lines, bounded by event."""
+        """Create a handler that writes JSON lines, with a rate limit per event."""
         handler = cls(fd)
         handler.setFormatter(JsonFormatter(host, zone))
         handler.addFilter(LimitFilter(EventLimiter(MAX_EVENT_LINES_PER_SECOND)))
         return handler
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record."""
+        """Write a record, after the remainder of the previous line."""
         if self._unwritten and not self._write(self._unwritten):
             self.n_dropped += 1
             return
         self._write(self.format(record).encode() + b"\n")
 
     def _write(self, data):
-        """Write what fits; keep the rest of a line that was begun."""
+        """Write as much as fits and keep the remainder.
+
+        Returns whether all was written.
+        """
         try:
             n_written = os.write(self._fd, data)
         except BlockingIOError:
@@ -59,7 +65,7 @@
                 self.n_dropped += 1
             return False
         except OSError:
-            # Nobody will read it any more; there is no other place to say so.
+            # The reader is gone, and there is no other place to report it.
             self.n_dropped += 1
             self._unwritten = b""
             return False
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_series.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_series.py
@@ -1,4 +1,4 @@
-"""Collectors of aioprometheus, made safe for threads and for any label."""
+"""Wrapper of aioprometheus collectors, safe for threads and for untrusted labels."""
 
 import re
 import threading
@@ -8,7 +8,7 @@
 from aioprometheus.collectors import Counter, Gauge, Histogram
 
 MAX_SERIES = 512
-"""Label sets of one metric; the next ones are counted under ``other``."""
+"""Limit of label sets per metric; further ones are counted under ``other``."""
 
 OTHER = "other"
 _UNSAFE = re.compile(r"[^A-Za-z0-9._:/-]")
@@ -17,20 +17,20 @@
 
 @dataclass(slots=True)
 class Series:
-    """One metric with a bounded number of label sets.
+    """One metric with a limited number of label sets.
 
     A label that callers choose, such as the name of a profile that doesn't exist,
-    would else add a series for each value until the host's memory is gone. The
-    text format of aioprometheus doesn't escape values either: a quote in one
-    breaks the whole page for the scraper.
+    would otherwise add a series for each value until the host runs out of memory. The
+    text format of aioprometheus also doesn't escape label values: a quote in one would
+    make the whole page invalid for the scraper.
 
     Parameters
     ----------
     collector : Counter, Gauge or Histogram
-        Where values are kept.
+        Collector that stores the values.
     lock : threading.Lock
-        Shared by all metrics of a host; aioprometheus is made for one thread, and
-        two that add at once lose an increment.
+        Lock shared by all metrics of a host. aioprometheus is not thread-safe:
+        concurrent additions would lose increments.
     """
 
     collector: Counter | Gauge | Histogram
@@ -38,7 +38,7 @@
     _known: dict[tuple[str, ...], dict[str, str]] = field(default_factory=dict)
 
     def add(self, value: float = 1, **labels: str) -> None:
-        """Add to a counter, or observe in a histogram."""
+        """Increment a counter, or observe a value in a histogram."""
         with self.lock:
             self.collector.add(self._safe_labels(labels), value)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_span.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_span.py
@@ -1,4 +1,4 @@
-"""The span of one hop."""
+"""Trace span of one hop of a request."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """What a hop adds to its span.
+    """Span of one hop, with attributes and error status.
 
     Parameters
     ----------
     traceparent : str
-        Context for the next hop; empty when there is none to pass on.
+        W3C trace context header for the next hop; empty if there is no trace.
     sdk_span : opentelemetry.trace.Span or None
-        None when no traces are written.
+        Span of the SDK; None if no traces are written.
     """
 
     traceparent: str
     sdk_span: "SdkSpan | None" = None
 
     def set(self, **attributes: object) -> None:
-        """Add attributes, such as ``verdict`` or ``target``; None is left out."""
+        """Add attributes, such as ``verdict`` or ``target``; None is skipped."""
         if self.sdk_span is None or not self.sdk_span.is_recording():
             return
         for name, value in attributes.items():
@@ -33,7 +33,7 @@
                 self.sdk_span.set_attribute(name, mask_field(name, value))
 
     def fail(self, kind: str) -> None:
-        """Mark the hop as failed by an error of this kind."""
+        """Mark the span as failed with the name of the exception type."""
         if self.sdk_span is None:
             return
         from opentelemetry.trace import StatusCode
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_telemetry.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_telemetry.py
@@ -1,4 +1,4 @@
-"""Logs, metrics and traces of one host in one place."""
+"""Container of the log, the metrics and the tracer of one host."""
 
 from contextlib import AbstractContextManager
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Telemetry:
-    """What the daemon's other parts report to.
+    """Log, metrics and tracer, passed to the other parts of the daemon.
 
     Parameters
     ----------
@@ -33,7 +33,7 @@
 
     @classmethod
     def from_settings(cls, cfg: Settings) -> "Telemetry":
-        """Create a host's telemetry; logging is set up for the whole process."""
+        """Create the telemetry of a host; sets up logging for the whole process."""
         log = EventLog.from_settings(cfg)
         return cls(
             log=log,
@@ -50,9 +50,9 @@
     def child_span(
         self, name: str, **attributes: object
     ) -> AbstractContextManager[Span]:
-        """Open a span below the one that this thread is in; see `Tracer.child`."""
+        """Open a child of the current span of this thread; see `Tracer.child`."""
         return self.tracer.child(name, **attributes)
 
     def close(self) -> None:
-        """Write what is still held back."""
+        """Flush and close the tracer."""
         self.tracer.close()
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_traceparent.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_traceparent.py
@@ -1,4 +1,4 @@
-"""The W3C trace context header.
+"""Parsing and writing of the W3C ``traceparent`` header.
 
 References
 ----------
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceParent:
-    """Place of a request in its trace.
+    """Trace and parent span of a request.
 
     Parameters
     ----------
     trace_id : int
-        128 bits, not zero.
+        Id of the trace, 128 bits, not zero.
     span_id : int
-        64 bits of the caller's span, not zero.
+        Id of the caller's span, 64 bits, not zero.
     sampled : bool
         Whether the caller records the trace.
     """
@@ -34,9 +34,9 @@
 
     @classmethod
     def from_header(cls, value: str) -> "TraceParent | None":
-        """Parse a header; None when it doesn't follow the standard.
+        """Parse a header; return None if it is invalid.
 
-        A wrong header starts a new trace instead of failing the request.
+        An invalid header starts a new trace and does not make the request fail.
         """
         found = _HEADER_PATTERN.fullmatch(value)
         if found is None:
@@ -50,6 +50,6 @@
         return cls(int(trace_id, 16), int(span_id, 16), sampled)
 
     def to_header(self) -> str:
-        """Return the header of version 00."""
+        """Return the header in version 00 of the format."""
         flags = _SAMPLED_FLAG if self.sampled else 0
         return f"00-{self.trace_id:032x}-{self.span_id:016x}-{flags:02x}"
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_tracer.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_tracer.py
@@ -1,4 +1,7 @@
-"""Traces with a span for each hop."""
+"""Tracing of requests with one span per hop.
+
+The context of a trace is carried between hops in the W3C ``traceparent`` header.
+"""
 
 import threading
 from collections.abc import Iterator
@@ -17,18 +20,18 @@
 
 
 class Tracer:
-    """Opens spans and carries their context from hop to hop.
+    """Opens spans and provides their context for the next hop.
 
     Parameters
     ----------
     provider : opentelemetry.sdk.trace.TracerProvider or None
-        None writes no traces; a context that came in is passed on unchanged, so
-        that a trace of the caller doesn't end here.
+        With None, no traces are written, and the context of the caller is passed on
+        unchanged, so that the caller's trace isn't interrupted.
 
     Notes
     -----
-    The SDK is imported only where an exporter is set: it takes memory that hosts
-    without traces keep free.
+    The SDK is imported only if an exporter is configured, which saves its memory on
+    hosts without traces.
     """
 
     def __init__(self, provider: "TracerProvider | None" = None):
@@ -38,7 +41,7 @@
 
     @classmethod
     def from_settings(cls, cfg: Settings) -> "Tracer":
-        """Create the tracer that the settings ask for."""
+        """Create the tracer with the exporter of the settings."""
         match cfg.traces.exporter:
             case TraceExporter.NONE:
                 return cls()
@@ -53,7 +56,7 @@
 
     @classmethod
     def from_exporter(cls, cfg: Settings, exporter: "SpanExporter") -> "Tracer":
-        """Create a tracer that writes to an exporter as each span ends."""
+        """Create a tracer that exports each span when it ends."""
         from opentelemetry.sdk.resources import Resource
         from opentelemetry.sdk.trace import SpanLimits, TracerProvider
         from opentelemetry.sdk.trace.export import SimpleSpanProcessor
@@ -77,16 +80,16 @@
         Parameters
         ----------
         name : str
-            Which hop: ``entry``, ``slot_holder``, ``target`` or ``platform``.
+            Name of the hop: ``entry``, ``slot_holder``, ``target`` or ``platform``.
         parent_traceparent : str
-            Header that came in; empty or wrong starts a new trace.
+            Header of the incoming request; if empty or invalid, a new trace starts.
         **attributes
-            Such as ``request_id``, ``customer``, ``program``, ``turn``.
+            Attributes such as ``request_id``, ``customer``, ``program``, ``turn``.
 
         Yields
         ------
         Span
-            With the context for the next hop.
+            Span with the context for the next hop.
         """
         parent = TraceParent.from_header(parent_traceparent or "")
         if self._tracer is None:
@@ -99,7 +102,8 @@
         try:
             yield span
         except GeneratorExit:
-            # Whoever reads a call's events closes them once it has the last one.
+            # Not a failure: the reader of a call's events closes the generator after
+            # the last event.
             raise
         except BaseException as exc:
             span.fail(type(exc).__name__)
@@ -110,10 +114,11 @@
 
     @contextmanager
     def child(self, name: str, **attributes: object) -> Iterator[Span]:
-        """Open a span below the one that this thread is in.
+        """Open a child of the current span of this thread.
 
-        For the platform, whose calls are made far below the request that needs
-        them. Outside a traced request nothing is opened: a heartbeat isn't a trace.
+        Used for calls to the platform, which are made deep in the call stack of a
+        request. Outside of a traced request no span is opened, so that heartbeats
+        don't create traces.
         """
         outer = getattr(self._current, "span", None)
         if outer is None or not outer.sdk_span.is_recording():
@@ -128,22 +133,22 @@
         return outer
 
     def _leave(self, span: Span, outer: Span | None) -> None:
-        # A generator that is dropped may be closed on another thread, whose own
-        # span must stay.
+        # A generator that is garbage-collected may be closed on another thread, whose
+        # own current span must not change.
         if getattr(self._current, "span", None) is span:
             self._current.span = outer
 
     def close(self) -> None:
-        """Write what is still held back."""
+        """Flush pending spans and shut down the exporter."""
         if self._provider is not None:
             self._provider.shutdown()
 
 
 def _context_of(parent: TraceParent | None) -> "Context":
-    """Return a context of its own for a request.
+    """Return a new context for a request, below `parent` if there is one.
 
-    Without one the SDK takes the thread's current span, and a request would hang
-    below another's trace.
+    Without an explicit context, the SDK uses the current span of the thread, and a
+    request could become part of another request's trace.
     """
     from opentelemetry import trace
     from opentelemetry.context import Context
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_worst_served.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_worst_served.py
@@ -1,17 +1,28 @@
-"""How the worst-served customer fares at this host."""
+"""Service level of the worst-served customer at this host.
+
+Moving averages of the served ratio and of the program latency are kept per customer;
+only the worst of each is reported.
+"""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
 MAX_CUSTOMERS = 1024
-"""Customers remembered; those silent for longest are forgotten first. 7,900
-customers over 380 hosts are some 21 a host, and 790 over the 10 hosts of today."""
+"""Limit of customers with averages; the least recently active are evicted first.
+
+7,900 customers are some 21 per host on 380 hosts, and 790 per host on the present 10
+hosts.
+"""
 
 SMOOTHING_WEIGHT = 0.2
-"""Weight of the newest request: the average covers some ten requests."""
+"""Weight of the newest value; the moving average covers some ten values."""
 
 MIN_REQUESTS = 5
-"""A single refusal of a rare customer would else count as the worst service."""
+"""Requests of a customer before its served ratio counts.
+
+Otherwise a single refusal of a customer with few requests would be reported as the
+worst service.
+"""
 
 
 @dataclass(slots=True)
@@ -23,23 +34,24 @@
 
 @dataclass(slots=True)
 class WorstServed:
-    """Moving averages of each customer, of which the worst is reported.
+    """Moving averages per customer, of which the worst are reported.
 
-    A series for each customer would grow to 7,900 series at each host; one number
-    that names nobody says whether somebody fares badly, and the log says who.
+    A series for each customer would add up to 7,900 series on each host. One value
+    without a customer label shows that some customer is badly served; the log shows
+    which one.
     """
 
     _customers: OrderedDict[str, _CustomerAverages] = field(default_factory=OrderedDict)
 
     def record_request(self, customer: str, served: bool) -> None:
-        """Count a request that was within the customer's rate."""
+        """Update the served ratio with a request within the customer's rate."""
         service = self._averages_of(customer)
         service.n_requests += 1
         step = SMOOTHING_WEIGHT * (float(served) - service.served_ratio)
         service.served_ratio += step
 
     def record_program(self, customer: str, latency_seconds: float) -> None:
-        """Count a program that ended, with its latency."""
+        """Update the average latency with a finished program."""
         service = self._averages_of(customer)
         if service.latency_seconds == 0.0:
             service.latency_seconds = latency_seconds
@@ -49,7 +61,10 @@
 
     @property
     def served_ratio(self) -> float:
-        """Smallest share of requests within the rate that were served."""
+        """Smallest served ratio of a customer, over requests within its rate.
+
+        1.0 if no customer has `MIN_REQUESTS` requests yet.
+        """
         known = [
             s.served_ratio
             for s in self._customers.values()
@@ -59,7 +74,7 @@
 
     @property
     def latency_seconds(self) -> float:
-        """Largest average latency of programs."""
+        """Largest average program latency of a customer in seconds, or 0.0."""
         known = [s.latency_seconds for s in self._customers.values()]
         return max(known, default=0.0)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_event_log.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""The log's lines."""
+"""Tests of the lines that the log writes."""
 
 import io
 import json
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def stream():
-    """Restore the process's logging after a test."""
+    """Yield a text stream; restore the logging of the process after the test."""
     root = logging.getLogger()
     before = (root.handlers[:], root.level, logging.raiseExceptions)
     excepthook = threading.excepthook
@@ -63,8 +63,8 @@
         assert len(lines(stream)) == 1
 
     def test_lines_of_one_event_are_limited(self, stream):
-        """Overload refuses hundreds of requests a second, each with a line. The
-        host would spend on its log what it lacks for its callers.
+        """Under overload, hundreds of requests per second are refused, each with a
+        line. Logging them all would take CPU time that requests need.
         """
         log = make_log(stream)
         with freeze_time("2026-01-01") as clock:
@@ -79,7 +79,7 @@
         assert found[-2]["event"] == "peer_lost"
 
     def test_keys_are_hidden(self, stream):
-        """A library chokes on a header and repeats it, key included."""
+        """The message of a library quotes an invalid header, including the key."""
         log = make_log(stream)
         log.info("odd", authorization="sk-1", detail="got 'Bearer sk-2'", secret="sk-3")
         try:
@@ -93,8 +93,8 @@
         assert lines(stream)[1]["places"]
 
     def test_records_of_other_loggers(self, stream):
-        """A part of the daemon logs with the standard library alone, at a rate that
-        follows the load.
+        """Records that parts of the daemon log through the standard library are
+        formatted and limited too, as their rate grows with the load.
         """
         make_log(stream)
         logger = logging.getLogger("swifttide_daemon.part")
@@ -107,8 +107,8 @@
         assert found[3]["request_id"] == "r3"
 
     def test_exception_that_ends_a_thread_is_logged(self, stream):
-        """A thread of a service dies of a fault. Its traceback on stderr would be
-        lost on whoever reads the log as JSON lines.
+        """A background thread ends with an exception. A plain traceback on stderr
+        would be missed by programs that read the log as JSON lines.
         """
         make_log(stream)
         thread = threading.Thread(target=lambda: 1 / 0, name="renewer")
@@ -119,7 +119,7 @@
         assert line["error"].startswith("ZeroDivisionError")
 
     def test_line_break_in_a_value_starts_no_line(self, stream):
-        """A caller sends a program id with a line break and a forged event."""
+        """A caller sends a program id that contains a line break and a forged event."""
         make_log(stream).info("odd", program='p\n{"event":"forged"}')
         assert len(stream.getvalue().splitlines()) == 1
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_metrics.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as a scraper sees them."""
+"""Tests of the rendered metrics, as a scraper receives them."""
 
 import re
 from concurrent.futures import ThreadPoolExecutor
@@ -57,8 +57,8 @@
         assert found[wrongful] == 1
 
     def test_bad_requests_are_not_wrongful_refusals(self):
-        """A client sends broken bodies. Counted as badly served, its customer would
-        hide one that is.
+        """A client sends invalid bodies. If these refusals counted, its customer
+        would hide another one that is really badly served.
         """
         metrics = make_metrics()
         for _ in range(10):
@@ -68,8 +68,8 @@
         assert found["swifttide_worst_customer_served_ratio"] == 1
 
     def test_worst_served_customer(self):
-        """One customer of many is starved while the others are served well. An
-        average over all requests would hide it.
+        """One customer is starved while the others are served well, which an average
+        over all requests would hide.
         """
         metrics = make_metrics()
         for _ in range(200):
@@ -83,8 +83,8 @@
         assert found["swifttide_worst_customer_program_latency_seconds"] == 90
 
     def test_labels_that_callers_choose(self):
-        """A caller invents names by the thousand, with quotes in them. The host's
-        memory would go, and the scraper would reject the whole page.
+        """A caller sends thousands of invented names that contain quotes. Without
+        limits the host would run out of memory, and the scraper would reject the page.
         """
         metrics = make_metrics()
         for i in range(MAX_SERIES + 100):
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_non_blocking_handler.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_non_blocking_handler.py
@@ -1,4 +1,4 @@
-"""A log that nobody reads."""
+"""Tests of logging to a pipe, also to one that is not read."""
 
 import json
 import logging
@@ -25,10 +25,11 @@
         )
 
     def test_full_pipe_drops_lines_without_blocking(self):
-        """The pipe behind standard output is full.
+        """The pipe behind standard output is full, and a blocking write would stop
+        the host.
 
-        A write that waits would stop the host. Lines are dropped and counted, and
-        once there is room again the rest of a line comes before the next one.
+        Lines are dropped and counted. Once there is room again, the remainder of a
+        partly written line is written before the next line.
         """
         reading, writing = os.pipe()
         handler = NonBlockingHandler(writing)
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_tracer.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/tests/test_tracer.py
@@ -1,4 +1,4 @@
-"""Spans and their context."""
+"""Tests of spans, their context and the file exporter."""
 
 import json
 
@@ -78,7 +78,7 @@
         assert inner["parent_id"] == outer["span_id"]
 
     def test_failed_hop_names_the_error_but_not_its_message(self, tmp_path):
-        """A library's message repeats a header with the caller's key in it."""
+        """The message of a library quotes a header that contains the caller's key."""
         cfg = settings(tmp_path, exporter="file", sample_ratio=1)
         with (
             pytest.raises(ValueError),
@@ -91,7 +91,7 @@
         assert line["detail"] == "Bearer [hidden]"
 
     def test_file_is_bounded(self, tmp_path):
-        """A host traces for weeks. Without a bound its file system fills up."""
+        """A host that writes traces for weeks must not fill its file system."""
         cfg = settings(tmp_path, exporter="file", sample_ratio=1)
         exporter = FileExporter(cfg.traces.path, max_bytes=1000)
         tracer = Tracer.from_exporter(cfg, exporter)
