--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -71,7 +71,7 @@
         self._build_runners()
         self._build_entry_side()
         self._bind_servers()
-        self._note_zones()
+        self._watch_zones()
         return Daemon(
             settings=cfg,
             telemetry=self.telemetry,
@@ -268,7 +268,7 @@
             Route("GET", "/metrics", health.metrics),
         ]
 
-    def _note_zones(self) -> None:
+    def _watch_zones(self) -> None:
         self.config.listen(
             lambda _changes: self.membership.note_zones(
                 target.zone for target in self.config.targets()
--- a/packages/swifttide_daemon/src/swifttide_daemon/_daemon.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_daemon.py
@@ -23,18 +23,18 @@
 
 log = logging.getLogger(__name__)
 
-NOTICE_SECONDS = 2.0
+LEAVING_NOTICE_SECONDS = 2.0
 """How long a leaving host still takes requests: balancers and peers see the change
 within about this."""
 
-DRAIN_SECONDS = 600.0
+MAX_DRAIN_SECONDS = 600.0
 """Longest wait for streams that run; a turn's timeout is well below."""
 
-OUTCOME_SECONDS = 30.0
+MAX_OUTCOME_WAIT_SECONDS = 30.0
 """Longest wait for a platform that doesn't take the outcomes of calls."""
 
-HAND_OVER_PAUSE_SECONDS = 0.2
-HAND_OVER_SECONDS = 10.0
+POLL_INTERVAL_SECONDS = 0.2
+MAX_HAND_OVER_SECONDS = 10.0
 
 
 @dataclass(slots=True)
@@ -86,7 +86,7 @@
         elsewhere, then the last streams run to their end.
         """
         self.gate.set(GateState.LEAVING)
-        noticed_at = time.monotonic() + NOTICE_SECONDS
+        noticed_at = time.monotonic() + LEAVING_NOTICE_SECONDS
         self._hand_over()
         time.sleep(max(0.0, noticed_at - time.monotonic()))
         self.gate.set(GateState.CLOSED)
@@ -100,21 +100,21 @@
         self.telemetry.close()
 
     def _hand_over(self) -> None:
-        ends_at = time.monotonic() + HAND_OVER_SECONDS
+        ends_at = time.monotonic() + MAX_HAND_OVER_SECONDS
         while not self.membership.hand_over() and time.monotonic() < ends_at:
-            time.sleep(HAND_OVER_PAUSE_SECONDS)
+            time.sleep(POLL_INTERVAL_SECONDS)
 
     def _drain(self) -> None:
-        ends_at = time.monotonic() + DRAIN_SECONDS
+        ends_at = time.monotonic() + MAX_DRAIN_SECONDS
         while time.monotonic() < ends_at:
             if self.gate.n_in_flight() == 0 and self.table.n_running() == 0:
                 break
-            time.sleep(HAND_OVER_PAUSE_SECONDS)
-        outcomes_until = time.monotonic() + OUTCOME_SECONDS
+            time.sleep(POLL_INTERVAL_SECONDS)
+        outcomes_until = time.monotonic() + MAX_OUTCOME_WAIT_SECONDS
         while self.unrecorded.count() and time.monotonic() < outcomes_until:
-            time.sleep(HAND_OVER_PAUSE_SECONDS)
+            time.sleep(POLL_INTERVAL_SECONDS)
         # An entry host may still be reading the last events of an ended call.
-        time.sleep(HAND_OVER_PAUSE_SECONDS)
+        time.sleep(POLL_INTERVAL_SECONDS)
 
     def _write_ready_file(self) -> None:
         if not self.settings.ready_file:
--- a/packages/swifttide_daemon/src/swifttide_daemon/tests/test_main.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/tests/test_main.py
@@ -38,10 +38,10 @@
         assert run("--version").stdout.strip() == "0.1.0"
 
     @pytest.mark.parametrize("argv", [(), ("--settings",), ("--bogus", "x")])
-    def test_wrong_command_line(self, argv):
+    def test_invalid_command_line_exits_with_2(self, argv):
         assert run(*argv).returncode == 2
 
-    def test_every_error_of_the_settings(self, tmp_path):
+    def test_all_settings_errors_are_reported(self, tmp_path):
         path = tmp_path / "s.jsonc"
         path.write_text('{"host": 3, "levle": 1}')
         done = run("--settings", str(path))
@@ -50,7 +50,7 @@
             assert f"{path}: {member}: got" in done.stderr
 
     @pytest.mark.parametrize("secret", [None, "", "short\n"])
-    def test_secret_that_proves_nothing(self, tmp_path, secret):
+    def test_missing_or_short_secret_is_refused(self, tmp_path, secret):
         """A copy of the secret failed and left an empty file. Hosts would accept
         calls that anybody signed with nothing.
         """
@@ -59,7 +59,7 @@
         assert "deployment_secret_file: got" in done.stderr
         assert "Traceback" not in done.stderr
 
-    def test_port_that_is_taken(self, tmp_path):
+    def test_port_in_use_is_reported_without_traceback(self, tmp_path):
         with socket.create_server(("127.0.0.1", 0)) as taken:
             port = taken.getsockname()[1]
             path = write_settings(tmp_path, "x" * 32, caller_port=port)
@@ -68,7 +68,7 @@
         assert "can't start" in done.stderr
         assert "Traceback" not in done.stderr
 
-    def test_command_line_library_stays_out_of_a_serving_process(self):
+    def test_serving_process_does_not_import_command_line_library(self):
         """A host runs for weeks with what its start imported. cappa and rich would
         take a tenth of its memory for one look at the arguments.
         """
