--- a/packages/swifttide_daemon/src/swifttide_daemon/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The swifttided daemon: HTTP around the decisions of swifttide_core."""
+"""The daemon ``swifttided``: HTTP servers and I/O around swifttide_core."""
--- a/packages/swifttide_daemon/src/swifttide_daemon/__main__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/__main__.py
@@ -1,4 +1,4 @@
-"""The binary ``swifttided``."""
+"""Entry point of the daemon ``swifttided``."""
 
 import signal
 import sys
@@ -12,7 +12,10 @@
 
 
 def run(path: str) -> int:
-    """Serve until SIGTERM or SIGINT, then leave without cutting a request."""
+    """Serve until SIGTERM or SIGINT, then drain running requests and stop.
+
+    Returns the exit status of the process.
+    """
     settings = Settings.from_file(path)
     if settings.is_error():
         print(settings.error, file=sys.stderr)
@@ -27,8 +30,8 @@
     try:
         daemon = Builder(settings.ok).build()
     except OSError as exc:
-        # Such as a port that another process has: one line says more than the
-        # places in the code where it was noticed.
+        # For example, the port is in use. One line is more useful here than a
+        # traceback.
         print(f"{path}: can't start: {exc}", file=sys.stderr)
         return EXIT_CANT_START
     stop = threading.Event()
@@ -41,16 +44,16 @@
 
 
 def main() -> None:
-    """Parse the command line and serve."""
+    """Parse the command line, serve, and exit with the status of `run`."""
     sys.exit(run(_settings_file(sys.argv[1:])))
 
 
 def _settings_file(argv: list[str]) -> str:
-    """Return the settings file that the command line names.
+    """Return the path of the settings file from the command line.
 
-    The plain form, by which every host is started, needs no library: cappa and what
-    it imports stay in memory for the process's whole life, 6 MB of the 64 MB that a
-    daemon may take.
+    The usual form ``--settings FILE`` is parsed without cappa, as the library and its
+    imports would stay in memory as long as the process: 6 MB of the 64 MB that a
+    daemon may use.
     """
     match argv:
         case [option, path] if option == SETTINGS_OPTION:
--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -1,4 +1,4 @@
-"""All parts of one host, put together."""
+"""Construction of all components of one host from its settings."""
 
 import random
 from pathlib import Path
@@ -50,7 +50,7 @@
 
 
 class Builder:
-    """Makes the parts in the order in which they need each other.
+    """Creates the components of a host in the order of their dependencies.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
         self.rng = random.Random()
 
     def build(self) -> Daemon:
-        """Return a host that is put together and does nothing until its start."""
+        """Return a complete host with bound ports, which is inactive until `start`."""
         cfg = self.settings
         self.telemetry = Telemetry.from_settings(cfg)
         self.gate = Gate()
@@ -219,7 +219,7 @@
             self.caches,
             self.outages,
         )
-        # A caller's body grows by a third as base64 on its way between hosts.
+        # Between hosts a caller's body is sent as base64, which is a third longer.
         peer_app = App(handlers.routes(), 2 * limits.max_body_bytes, self.proof.check)
         self.callers = WebServer.from_settings(
             cfg.caller_address,
--- a/packages/swifttide_daemon/src/swifttide_daemon/_command_line.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_command_line.py
@@ -1,4 +1,4 @@
-"""The command line of ``swifttided``."""
+"""Command-line interface of ``swifttided``."""
 
 from dataclasses import dataclass
 from importlib.metadata import version
@@ -27,7 +27,7 @@
     Parameters
     ----------
     settings : str
-        File with this host's settings, JSON with comments.
+        Path of the file with the settings of this host, JSON with comments.
     """
 
     settings: Annotated[
@@ -37,5 +37,5 @@
 
 
 def parse() -> Swifttided:
-    """Parse the process's arguments; exits on ``--help`` and on errors."""
+    """Parse the arguments of the process; exit on ``--help`` and on errors."""
     return cappa.parse(Swifttided, version=_VERSION)
--- a/packages/swifttide_daemon/src/swifttide_daemon/_daemon.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_daemon.py
@@ -1,4 +1,4 @@
-"""One host, from its start to its planned stop."""
+"""Life cycle of one host: start, and stop after draining running requests."""
 
 import logging
 import threading
@@ -24,14 +24,16 @@
 log = logging.getLogger(__name__)
 
 LEAVING_NOTICE_SECONDS = 2.0
-"""How long a leaving host still takes requests: balancers and peers see the change
-within about this."""
+"""Time for which a leaving host still accepts requests.
+
+Load balancers and peers notice within about this time that the host is leaving.
+"""
 
 MAX_DRAIN_SECONDS = 600.0
-"""Longest wait for streams that run; a turn's timeout is well below."""
+"""Limit of the wait for running streams; the timeout of a turn is well below."""
 
 MAX_OUTCOME_WAIT_SECONDS = 30.0
-"""Longest wait for a platform that doesn't take the outcomes of calls."""
+"""Limit of the wait until the platform has stored the outcomes of all calls."""
 
 POLL_INTERVAL_SECONDS = 0.2
 MAX_HAND_OVER_SECONDS = 10.0
@@ -39,7 +41,7 @@
 
 @dataclass(slots=True)
 class Daemon:
-    """One host: its services, handlers and servers.
+    """One host with its background services and HTTP servers.
 
     Parameters
     ----------
@@ -52,8 +54,9 @@
     table : CallTable
     unrecorded : UnrecordedCalls
     services : tuple
-        Further parts with `start` and `stop`, in the order of their start.
+        Further components with `start` and `stop`, in the order of their start.
     callers, peers : WebServer
+        Servers for callers and for other hosts.
     """
 
     settings: Settings
@@ -69,7 +72,10 @@
     peers: WebServer
 
     def start(self) -> None:
-        """Join the zone and serve."""
+        """Join the zone and start serving.
+
+        The ready file is written last, when callers are served.
+        """
         self.peers.start()
         self.config.start()
         self.membership.start()
@@ -80,10 +86,11 @@
         self._write_ready_file()
 
     def stop(self) -> None:
-        """Leave the zone without cutting a request.
+        """Leave the zone without interrupting requests, within time limits.
 
-        Readiness goes first and slots are handed over, then new requests are sent
-        elsewhere, then the last streams run to their end.
+        First the host reports that it isn't ready and hands over its slots. After
+        `LEAVING_NOTICE_SECONDS` it refuses new requests. Then it waits until running
+        streams have ended and the outcomes of calls are stored.
         """
         self.gate.set(GateState.LEAVING)
         noticed_at = time.monotonic() + LEAVING_NOTICE_SECONDS
@@ -113,7 +120,7 @@
         outcomes_until = time.monotonic() + MAX_OUTCOME_WAIT_SECONDS
         while self.unrecorded.count() and time.monotonic() < outcomes_until:
             time.sleep(POLL_INTERVAL_SECONDS)
-        # An entry host may still be reading the last events of an ended call.
+        # The host that received a call may still be reading its last events.
         time.sleep(POLL_INTERVAL_SECONDS)
 
     def _write_ready_file(self) -> None:
@@ -128,6 +135,9 @@
 
 
 def wait_for_signal(stop: threading.Event) -> None:
-    """Sleep until `stop` is set, waking up for signals."""
+    """Block until `stop` is set.
+
+    The wait has a timeout so that signal handlers run.
+    """
     while not stop.wait(1.0):
         pass
--- a/packages/swifttide_daemon/src/swifttide_daemon/_health.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_health.py
@@ -1,4 +1,4 @@
-"""What balancers and monitoring ask of a host."""
+"""Handlers of the health, readiness and metrics endpoints."""
 
 from swifttide_core.slots import SlotKind
 from swifttide_daemon.configuration import ConfigService
@@ -16,7 +16,7 @@
 
 
 class Health:
-    """Answers about this host as a whole.
+    """Handlers that report the state of this host to load balancers and monitoring.
 
     Parameters
     ----------
@@ -48,11 +48,11 @@
         self.host_metrics = metrics
 
     def alive(self, req: Request) -> Response:
-        """Answer ``/healthz``: the process answers."""
+        """Answer ``/healthz`` with status 200 whenever the process can answer."""
         return Response.from_json({"state": self.gate.state})
 
     def ready(self, req: Request) -> Response:
-        """Answer ``/readyz``: the host takes new requests."""
+        """Answer ``/readyz`` with 200 if the host accepts new requests, else 503."""
         slot = self.membership.holder(SlotKind.PROGRAM, "any")
         ready = self.gate.state is GateState.OPEN and slot is not None
         state = {
@@ -63,7 +63,7 @@
         return Response.from_json(state, 200 if ready else 503)
 
     def metrics(self, req: Request) -> Response:
-        """Answer ``/metrics``."""
+        """Set the gauges of this host and answer ``/metrics``."""
         metrics = self.host_metrics
         holds = self.keeper.holds()
         metrics.set_lease("held" if holds else "lapsed")
--- a/packages/swifttide_daemon/src/swifttide_daemon/tests/test_main.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The binary, as a service manager starts it."""
+"""Tests of the daemon as a separate process, as a service manager starts it."""
 
 import json
 import socket
@@ -51,8 +51,8 @@
 
     @pytest.mark.parametrize("secret", [None, "", "short\n"])
     def test_missing_or_short_secret_is_refused(self, tmp_path, secret):
-        """A copy of the secret failed and left an empty file. Hosts would accept
-        calls that anybody signed with nothing.
+        """A failed copy of the secret left an empty file. Hosts with an empty secret
+        would accept peer calls that anybody can sign.
         """
         done = run("--settings", write_settings(tmp_path, secret))
         assert done.returncode == 2
@@ -69,8 +69,8 @@
         assert "Traceback" not in done.stderr
 
     def test_serving_process_does_not_import_command_line_library(self):
-        """A host runs for weeks with what its start imported. cappa and rich would
-        take a tenth of its memory for one look at the arguments.
+        """Modules imported at the start stay in memory for weeks. cappa and rich would
+        take a tenth of the daemon's memory only to parse the arguments.
         """
         code = (
             "import sys, swifttide_daemon.__main__, swifttide_daemon._daemon;"
