--- a/packages/swifttide_daemon/src/swifttide_daemon/operators/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/operators/_handlers.py
@@ -19,7 +19,7 @@
 from swifttide_daemon.store import PlatformClient
 from swifttide_daemon.web import Request, Response
 
-OPERATOR_HASH_CHARS = 8
+KEY_HASH_PREFIX_CHARACTERS = 8
 """Characters of the key's hash that the history shows."""
 
 
@@ -51,20 +51,20 @@
 
     def list_documents(self, req: Request, kind: str) -> Response:
         """Answer ``GET /v1/operator/documents/{kind}``."""
-        checked = self._check(req, kind)
+        checked = self._authorize(req, kind)
         if checked.is_error():
             return Response.from_refusal(checked.error)
         changes = self.config.state.latest_changes_of_kind(checked.ok[1])
         return Response.from_json(
             {
-                "documents": [_shown(change) for change in changes],
+                "documents": [_document_view(change) for change in changes],
                 "config_version": self.config.version,
             }
         )
 
     def show_document(self, req: Request, kind: str, name: str) -> Response:
         """Answer ``GET /v1/operator/documents/{kind}/{name}``."""
-        checked = self._check(req, kind)
+        checked = self._authorize(req, kind)
         if checked.is_error():
             return Response.from_refusal(checked.error)
         change = self.config.state.latest_change(checked.ok[1], name)
@@ -72,22 +72,22 @@
             return Response.from_refusal(
                 Refusal(Reason.NOT_FOUND, f"no {kind} {name!r} in force here")
             )
-        return Response.from_json(_shown(change))
+        return Response.from_json(_document_view(change))
 
     def put_document(self, req: Request, kind: str, name: str) -> Response:
         """Answer ``PUT /v1/operator/documents/{kind}/{name}``."""
-        checked = self._check(req, kind)
+        checked = self._authorize(req, kind)
         if checked.is_error():
             return Response.from_refusal(checked.error)
         identity, of_kind = checked.ok
-        body = _edit_body(req.body)
+        body = _parse_edit(req.body)
         if body.is_error():
             return Response.from_refusal(body.error)
         document, base_version = body.ok
         if document is not None:
             decoded = check_document(of_kind, document)
             if decoded.is_error():
-                return _wrong_document(decoded.error)
+                return _invalid_document(decoded.error)
             if document_name(of_kind, decoded.ok) != name:
                 return Response.from_refusal(
                     Refusal(
@@ -102,7 +102,7 @@
             name,
             document,
             base_version,
-            identity.key_hash[:OPERATOR_HASH_CHARS],
+            identity.key_hash[:KEY_HASH_PREFIX_CHARACTERS],
         )
         match outcome:
             case Accepted(version):
@@ -175,7 +175,7 @@
             return Response.from_refusal(identity.error)
         return self.programs.end_for_customer(customer, program)
 
-    def _check(
+    def _authorize(
         self, req: Request, kind: str
     ) -> Result[tuple[Identity, DocumentKind], Refusal]:
         identity = self.authenticator.operator(req)
@@ -190,7 +190,7 @@
             )
 
 
-def _shown(change: Any) -> dict[str, Any]:
+def _document_view(change: Any) -> dict[str, Any]:
     return {
         "name": change.name,
         "version": change.version,
@@ -198,7 +198,7 @@
     }
 
 
-def _edit_body(
+def _parse_edit(
     body: bytes,
 ) -> Result[tuple[dict[str, Any] | None, int | None], Refusal]:
     try:
@@ -212,7 +212,7 @@
     return Ok((document, base))
 
 
-def _wrong_document(errors: tuple[Any, ...]) -> Response:
+def _invalid_document(errors: tuple[Any, ...]) -> Response:
     detail = "; ".join(str(error) for error in errors)
     return Response.from_refusal(
         Refusal(Reason.BAD_REQUEST, detail), errors=[str(error) for error in errors]
