--- a/packages/swifttide_daemon/src/swifttide_daemon/operators/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/operators/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' calls."""
+"""HTTP API for operators of the fleet."""
 
 from swifttide_daemon.operators._handlers import OperatorHandlers
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/operators/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/operators/_handlers.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a host, by any host of the fleet."""
+"""Handlers of the operator API, which every host of the fleet serves."""
 
 from typing import Any
 
@@ -20,11 +20,11 @@
 from swifttide_daemon.web import Request, Response
 
 KEY_HASH_PREFIX_CHARACTERS = 8
-"""Characters of the key's hash that the history shows."""
+"""Length of the prefix of the operator's key hash that is stored with an edit."""
 
 
 class OperatorHandlers:
-    """Edits and views of the configuration and the fleet.
+    """Handlers to edit the configuration, and to view it, the fleet and programs.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
         self.programs = programs
 
     def list_documents(self, req: Request, kind: str) -> Response:
-        """Answer ``GET /v1/operator/documents/{kind}``."""
+        """Answer ``GET /v1/operator/documents/{kind}`` with all documents of a kind."""
         checked = self._authorize(req, kind)
         if checked.is_error():
             return Response.from_refusal(checked.error)
@@ -63,19 +63,26 @@
         )
 
     def show_document(self, req: Request, kind: str, name: str) -> Response:
-        """Answer ``GET /v1/operator/documents/{kind}/{name}``."""
+        """Answer ``GET /v1/operator/documents/{kind}/{name}`` with one document."""
         checked = self._authorize(req, kind)
         if checked.is_error():
             return Response.from_refusal(checked.error)
         change = self.config.state.latest_change(checked.ok[1], name)
         if change is None or change.document is None:
             return Response.from_refusal(
-                Refusal(Reason.NOT_FOUND, f"no {kind} {name!r} in force here")
+                Refusal(
+                    Reason.NOT_FOUND,
+                    f"no {kind} {name!r} in the configuration of this host",
+                )
             )
         return Response.from_json(_document_view(change))
 
     def put_document(self, req: Request, kind: str, name: str) -> Response:
-        """Answer ``PUT /v1/operator/documents/{kind}/{name}``."""
+        """Answer ``PUT /v1/operator/documents/{kind}/{name}``.
+
+        The document is validated before it is stored; null removes it. An edit whose
+        base version isn't the current version is refused with the current document.
+        """
         checked = self._authorize(req, kind)
         if checked.is_error():
             return Response.from_refusal(checked.error)
@@ -125,7 +132,10 @@
                 return Response.from_refusal(platform_refusal(verdict))
 
     def history(self, req: Request) -> Response:
-        """Answer ``GET /v1/operator/history``, newest last."""
+        """Answer ``GET /v1/operator/history`` with all edits, newest last.
+
+        The query parameters ``kind`` and ``name`` filter the edits.
+        """
         identity = self.authenticator.operator(req)
         if identity.is_error():
             return Response.from_refusal(identity.error)
@@ -155,7 +165,7 @@
         )
 
     def targets(self, req: Request) -> Response:
-        """Answer ``GET /v1/operator/targets``."""
+        """Answer ``GET /v1/operator/targets`` from the configuration of this host."""
         identity = self.authenticator.operator(req)
         if identity.is_error():
             return Response.from_refusal(identity.error)
@@ -206,9 +216,9 @@
         document = msgspec.convert(raw.get("document"), dict[str, Any] | None)
         base = msgspec.convert(raw.get("base_version"), int | None)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
-        return Error(Refusal(Reason.BAD_REQUEST, f"the body: {exc}"))
+        return Error(Refusal(Reason.BAD_REQUEST, f"invalid body: {exc}"))
     if "document" not in raw:
-        return Error(Refusal(Reason.BAD_REQUEST, "expected the member 'document'"))
+        return Error(Refusal(Reason.BAD_REQUEST, "the member 'document' is missing"))
     return Ok((document, base))
 
 
