--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
@@ -188,7 +188,7 @@
 
     def refusal_status(self, req: Request, fingerprint: str) -> Response:
         """Return whether requests with a fingerprint are refused, and for how long."""
-        refusal = self.strikes.standing(fingerprint)
+        refusal = self.strikes.check_local(fingerprint)
         return Response.from_json(
             {
                 "refused": refusal is not None,
--- a/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/runners/_journaled_call.py
@@ -124,7 +124,7 @@
             if event is None:
                 continue
             step = step_call(state, event)
-            self.recording.step(event, step.actions)
+            self.recording.record_step(event, step.actions)
             state = step.state
             actions.extend(step.actions)
 
@@ -243,7 +243,7 @@
                 time.sleep(pause)
                 pause = min(2 * pause, MAX_JOURNAL_RETRY_SECONDS)
             step = step_call(state, event)
-            self.recording.step(event, step.actions)
+            self.recording.record_step(event, step.actions)
             state = step.state
             actions.extend(step.actions)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/targets/_target_selector.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/targets/_target_selector.py
@@ -64,7 +64,7 @@
         self._must_rebuild_now = True
         self._built_at = 0.0
         self._lock = threading.Lock()
-        config.listen(lambda _changes: self._request_rebuild())
+        config.add_listener(lambda _changes: self._request_rebuild())
 
     @classmethod
     def from_config(cls, config: ConfigService) -> "TargetSelector":
