--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/_status_pages.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/_status_pages.py
@@ -28,8 +28,8 @@
     fleet : Fleet
     store : RelayedStore
     isolation : IsolationDetector
-    rates : RateKeeper
-    shares : ShareKeeper
+    rates : RateLimiter
+    shares : ShareAllocator
     entry : ProgramEntry
     lender : TokenLender
     metrics : GatewayMetrics
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/callers/_admission.py
@@ -67,7 +67,7 @@
         Token budgets of programs.
     turns : TurnKeeper
         Stored transcripts of earlier turns.
-    rates : RateKeeper
+    rates : RateLimiter
         Rate limits of customers.
     strikes : StrikeKeeper
         Fingerprints of requests that crashed targets.
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_membership_feed.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/store/_membership_feed.py
@@ -23,7 +23,7 @@
     strikes : StrikeKeeper
         Records crashes of targets; it is told of each target entry.
     fleet : Fleet
-    shares : ShareKeeper
+    shares : ShareAllocator
         Gets the row with the shares of the customers' rate limits.
     log : EventLog
     """
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_http_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_http_client.py
@@ -137,7 +137,7 @@
                 limit.reschedule(max(limit.when(), now + MAX_CHUNK_PAUSE_SECONDS))
             if len(body) > max_bytes:
                 raise h11.RemoteProtocolError(
-                    f"answer body longer than {max_bytes} bytes"
+                    f"a body of over {max_bytes} bytes"
                 )
         return bytes(body)
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_target_client.py
@@ -63,14 +63,14 @@
             piece = await self._conn.read_data()
         except (OSError, h11.RemoteProtocolError, EOFError) as exc:
             self.cancel()
-            reason = f"answer incomplete: {describe_exception(exc)}"
+            reason = f"broke off: {describe_exception(exc)}"
             raise TargetFailure(MayHaveRun(reason, broken=True)) from exc
         self._guard.progress()
         if piece is None and self._guard.fired:
             # An answer without a length ends when its connection is closed, even if the
             # silence guard of this host has closed it.
             self.cancel()
-            raise TargetFailure(MayHaveRun("target unreachable", broken=True))
+            raise TargetFailure(MayHaveRun("out of reach", broken=True))
         if piece is None:
             self.complete = True
             self._guard.stop()
@@ -86,7 +86,7 @@
             body += piece
             if len(body) > MAX_ANSWER_BYTES:
                 self.cancel()
-                raise TargetFailure(MayHaveRun("answer too long"))
+                raise TargetFailure(MayHaveRun("an answer that is too long"))
         return bytes(body)
 
     def cancel(self) -> None:
@@ -121,7 +121,7 @@
             conn, _ = await self._pool.take(target.ip, target.port)
         except OSError as exc:
             self._prober.note_unreachable(target)
-            reason = f"connection failed: {describe_exception(exc)}"
+            reason = f"no connection: {describe_exception(exc)}"
             refused = isinstance(exc, ConnectionRefusedError)
             outcome = NotRun(reason, reached=False, refused=refused)
             raise TargetFailure(outcome) from exc
@@ -196,7 +196,7 @@
                 return head
             await conn.read_body(MAX_ANSWER_BYTES)
             conn.skip_answer()
-        raise h11.RemoteProtocolError("received only answers to other requests")
+        raise h11.RemoteProtocolError("only answers to other requests")
 
     async def _discard(self, exchange):
         try:
@@ -213,7 +213,7 @@
         head = exchange.head
         if head.status < 400 and not (head.stamp and head.attempt):
             exchange.cancel()
-            raise TargetFailure(MayHaveRun("answer without the target's stamp"))
+            raise TargetFailure(MayHaveRun("an answer without the target's mark"))
 
 
 def describe_exception(exc: BaseException) -> str:
--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/conftest.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/tests/conftest.py
@@ -29,9 +29,9 @@
         Whether all calls fail.
     hangs : bool
         Whether reads get no answer for `HANG_DURATION_SECONDS` and then fail.
-    away_tables : set of str
+    unavailable_tables : set of str
         Tables for which all commits and reads fail.
-    lose : int
+    n_lost_answers : int
         Number of next commits that are applied although their answers are lost.
     delay : bool
         Whether commits are put into `late` instead of being applied.
--- a/packages/swifttide_daemon/src/swifttide_daemon/platform/tests/test_homes.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/platform/tests/test_homes.py
@@ -78,7 +78,7 @@
 
             relay._direct.commit = carry
             bound._store.direct_up = False
-            bound._store._doubt = lambda outcome: None
+            bound._store._start_probe = lambda outcome: None
             site.store.rows.put("probe", "x", b"")
             return await bound._turns.save(
                 "c", "t1", b"said", 60.0, frozenset({"south"})
