--- a/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_http_client.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/gateway/targets/_http_client.py
@@ -136,9 +136,7 @@
                 now = asyncio.get_running_loop().time()
                 limit.reschedule(max(limit.when(), now + MAX_CHUNK_PAUSE_SECONDS))
             if len(body) > max_bytes:
-                raise h11.RemoteProtocolError(
-                    f"a body of over {max_bytes} bytes"
-                )
+                raise h11.RemoteProtocolError(f"a body of over {max_bytes} bytes")
         return bytes(body)
 
     def skip_answer(self) -> None:
