--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -23,7 +23,7 @@
 from swifttide_daemon.peers import PeerClient, PeerProof
 from swifttide_daemon.programs import ProgramRegistry, ProgramStore
 from swifttide_daemon.recording import Recorder
-from swifttide_daemon.retention import CacheKeeper, ProgramJudge
+from swifttide_daemon.retention import CacheReconciler, ProgramJudge
 from swifttide_daemon.runners import (
     CallRunner,
     ChatRunner,
@@ -131,7 +131,7 @@
         self.book = ProgramRegistry(
             ProgramStore(self.platform), self.telemetry.metrics.end_program
         )
-        self.caches = CacheKeeper(
+        self.caches = CacheReconciler(
             self.membership,
             self.config,
             self.book,
--- a/packages/swifttide_daemon/src/swifttide_daemon/_health.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_health.py
@@ -7,7 +7,7 @@
     GateState,
 )
 from swifttide_daemon.membership import LeaseKeeper, MembershipService
-from swifttide_daemon.retention import CacheKeeper
+from swifttide_daemon.retention import CacheReconciler
 from swifttide_daemon.targets import (
     QueueService,
 )
@@ -25,7 +25,7 @@
     keeper : LeaseKeeper
     membership : MembershipService
     queues : QueueService
-    caches : CacheKeeper
+    caches : CacheReconciler
     metrics : Metrics
     """
 
@@ -36,7 +36,7 @@
         keeper: LeaseKeeper,
         membership: MembershipService,
         queues: QueueService,
-        caches: CacheKeeper,
+        caches: CacheReconciler,
         metrics: Metrics,
     ) -> None:
         self.gate = gate
--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
@@ -20,7 +20,7 @@
 from swifttide_daemon.membership import MembershipService, OutageService, PromiseRequest
 from swifttide_daemon.peering._heartbeat import Heartbeat
 from swifttide_daemon.retention import (
-    CacheKeeper,
+    CacheReconciler,
     ExportedCache,
     Judgements,
     ListedPrograms,
@@ -57,7 +57,7 @@
     shares : ShareService
     grants : GrantBook
     strikes : StrikeService
-    caches : CacheKeeper
+    caches : CacheReconciler
     outages : OutageService
     """
 
@@ -70,7 +70,7 @@
         shares: ShareService,
         grants: GrantBook,
         strikes: StrikeService,
-        caches: CacheKeeper,
+        caches: CacheReconciler,
         outages: OutageService,
     ) -> None:
         self.outages = outages
@@ -209,7 +209,7 @@
         exported = _decode(req, ExportedCache)
         if exported.is_error():
             return Response.from_refusal(exported.error)
-        self.caches.note_exported(exported.ok)
+        self.caches.record_export(exported.ok)
         return Response.from_json({})
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/retention/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/retention/__init__.py
@@ -1,6 +1,6 @@
 """Engine memory: what programs that are gone or pause still hold."""
 
-from swifttide_daemon.retention._cache_keeper import CacheKeeper
+from swifttide_daemon.retention._cache_keeper import CacheReconciler
 from swifttide_daemon.retention._messages import (
     ExportedCache,
     Judgement,
@@ -10,7 +10,7 @@
 from swifttide_daemon.retention._program_judge import ProgramJudge
 
 __all__ = [
-    "CacheKeeper",
+    "CacheReconciler",
     "ExportedCache",
     "Judgement",
     "Judgements",
--- a/packages/swifttide_daemon/src/swifttide_daemon/retention/_cache_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/retention/_cache_keeper.py
@@ -41,13 +41,13 @@
 
 log = logging.getLogger(__name__)
 
-RECONCILE_SECONDS = 3.0
-MAX_RELEASES = 200
+RECONCILE_INTERVAL_SECONDS = 3.0
+MAX_RELEASES_PER_ROUND = 200
 """Orders to one engine in one round, so that a host that takes over slots with
 thousands of silent programs doesn't hold up the other engines."""
 
 
-class CacheKeeper:
+class CacheReconciler:
     """Reconciles engines' listings with the programs that still run.
 
     Parameters
@@ -93,14 +93,14 @@
         """Reconcile no more."""
         self._stop.set()
 
-    def note_exported(self, exported: ExportedCache) -> None:
+    def record_export(self, exported: ExportedCache) -> None:
         """Keep in mind, as a program's holder, where its cache was moved."""
         customer, root, program = exported.program.split("/", 2)
         cache = (exported.name, exported.tokens)
         self.book.record_cache_export(customer, root, program, cache)
 
     def _run(self) -> None:
-        while not self._stop.wait(RECONCILE_SECONDS):
+        while not self._stop.wait(RECONCILE_INTERVAL_SECONDS):
             for target in self.config.targets():
                 if target.kind is not TargetKind.ENGINE:
                     continue
@@ -111,7 +111,7 @@
                 except Exception:
                     # One odd listing must not keep the memory of other engines.
                     log.exception("reconciling failed", extra={"target": target.name})
-            self.judge.forget_old()
+            self.judge.evict_unlisted()
             self.book.evict()
 
     def _reconcile(self, target: Target) -> None:
@@ -119,10 +119,10 @@
         if listing is None:
             return
         self.held_bytes[target.name] = sum(listing.values())
-        judgements = self._judgements(tuple(listing))
+        judgements = self._collect_judgements(tuple(listing))
         self._release_gone(target, listing, judgements)
-        self._thin_out(target, judgements)
-        self._measure_tokens(target, listing, judgements)
+        self._evict_paused(target, judgements)
+        self._measure_bytes_per_token(target, listing, judgements)
 
     def _release_gone(
         self,
@@ -133,11 +133,11 @@
         gone = {j.program: j for j in judgements if j.gone}
         now = time.monotonic()
         held = (HeldCache(p, target.name, listing[p], True, now) for p in gone)
-        for cache in release_order(held)[:MAX_RELEASES]:
+        for cache in release_order(held)[:MAX_RELEASES_PER_ROUND]:
             fencing = gone[cache.program].fencing
             self._release(target, cache.program, fencing)
 
-    def _thin_out(self, target: Target, judgements: list[Judgement]) -> None:
+    def _evict_paused(self, target: Target, judgements: list[Judgement]) -> None:
         """Take caches of programs that are silent for long out of an engine."""
         now = time.monotonic()
         for judgement in judgements:
@@ -156,7 +156,7 @@
         if self.engines.release(target, program, fencing):
             self.queues.end_program(target.name, program)
 
-    def _measure_tokens(
+    def _measure_bytes_per_token(
         self, target: Target, listing: dict[str, int], judgements: list[Judgement]
     ) -> None:
         """Learn how many bytes of the engine's memory a token takes."""
@@ -173,18 +173,20 @@
             return
         exported = ExportedCache(program, name, judgement.paused.cached_tokens)
         for zone in self._zones_of(program):
-            holder = self.membership.holder(SlotKind.PROGRAM, _key(program), zone)
+            holder = self.membership.holder(
+                SlotKind.PROGRAM, _placement_key(program), zone
+            )
             if holder is None:
                 continue
             if holder.host == self.membership.me.host:
-                self.note_exported(exported)
+                self.record_export(exported)
             else:
                 url = holder.peer_url
                 self.peers.call(url, "POST", "/peer/v1/programs/exported", exported)
             break
         self._release(target, program, fencing)
 
-    def _judgements(self, programs: tuple[str, ...]) -> list[Judgement]:
+    def _collect_judgements(self, programs: tuple[str, ...]) -> list[Judgement]:
         by_holder: dict[str, list[str]] = {}
         mine: list[str] = []
         for program in programs:
@@ -206,15 +208,17 @@
     def _holder_url(self, program: str) -> str:
         """Return the peers' URL of the program's holder, the home zone's first."""
         for zone in self._zones_of(program):
-            holder = self.membership.holder(SlotKind.PROGRAM, _key(program), zone)
+            holder = self.membership.holder(
+                SlotKind.PROGRAM, _placement_key(program), zone
+            )
             if holder is not None:
                 return holder.peer_url
         return ""
 
     def _zones_of(self, program: str) -> list[str]:
-        return ranked_zones(_key(program), self.membership.zones())
+        return ranked_zones(_placement_key(program), self.membership.zones())
 
 
-def _key(program: str) -> str:
+def _placement_key(program: str) -> str:
     """Return the placement key of ``customer/root/program``."""
     return program.rpartition("/")[0]
