--- a/packages/swifttide_daemon/src/swifttide_daemon/retention/__init__.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/retention/__init__.py
@@ -1,4 +1,4 @@
-"""Engine memory: what programs that are gone or pause still hold."""
+"""Release and export of engine cache held by ended, idle and paused programs."""
 
 from swifttide_daemon.retention._cache_keeper import CacheReconciler
 from swifttide_daemon.retention._messages import (
--- a/packages/swifttide_daemon/src/swifttide_daemon/retention/_cache_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/retention/_cache_keeper.py
@@ -1,11 +1,14 @@
-"""Engine memory of programs that are gone or pause.
-
-An engine's cache events are late and have gaps, hosts die between a program's end and
-the release of its cache, and silent programs say nothing at all. What holds is the
-engine's own listing: the holder of a target reads it now and then, asks the
-holders of the listed programs what became of them, and orders the release again
-and again until the listing shows it. Nothing has to be remembered for that, so a
-successor needs nothing from its predecessor.
+"""Release of engine cache that is held by ended, idle and paused programs.
+
+The holder of a target periodically reads the engine's listing of cached programs and
+asks the holders of these programs for their state. It orders the release of caches of
+programs that are gone, in each round again until the listing no longer contains them.
+Caches of long-paused programs are exported or released.
+
+Only the engine's own listing is reliable: its cache events are late and have gaps,
+hosts may fail between the end of a program and the release of its cache, and programs
+that fall silent send nothing at all. As no state is kept between rounds, a new holder
+of the target needs nothing from its predecessor.
 """
 
 import logging
@@ -43,12 +46,15 @@
 
 RECONCILE_INTERVAL_SECONDS = 3.0
 MAX_RELEASES_PER_ROUND = 200
-"""Orders to one engine in one round, so that a host that takes over slots with
-thousands of silent programs doesn't hold up the other engines."""
+"""Limit of release orders to one engine per round.
+
+Without it, a host that takes over slots with thousands of silent programs would delay
+the other engines.
+"""
 
 
 class CacheReconciler:
-    """Reconciles engines' listings with the programs that still run.
+    """Reconciles the cache listings of engines with the programs that still run.
 
     Parameters
     ----------
@@ -56,11 +62,11 @@
     config : ConfigService
     book : ProgramRegistry
     judge : ProgramJudge
-        For programs whose slots are held here.
+        Reports the state of programs whose slots this host holds.
     engines : EngineClient
     peers : PeerClient
     queues : QueueService
-        Told which programs' memory is free again.
+        Notified of released programs and of the bytes of cache per token.
     """
 
     def __init__(
@@ -86,15 +92,15 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Reconcile from now on."""
+        """Start the thread that reconciles periodically."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Reconcile no more."""
+        """Stop the thread before its next round."""
         self._stop.set()
 
     def record_export(self, exported: ExportedCache) -> None:
-        """Keep in mind, as a program's holder, where its cache was moved."""
+        """Record, as the holder of a program, where its cache was exported to."""
         customer, root, program = exported.program.split("/", 2)
         cache = (exported.name, exported.tokens)
         self.book.record_cache_export(customer, root, program, cache)
@@ -109,7 +115,8 @@
                 try:
                     self._reconcile(target)
                 except Exception:
-                    # One odd listing must not keep the memory of other engines.
+                    # An unexpected listing of one engine must not prevent the release
+                    # of cache at other engines.
                     log.exception("reconciling failed", extra={"target": target.name})
             self.judge.evict_unlisted()
             self.book.evict()
@@ -138,7 +145,7 @@
             self._release(target, cache.program, fencing)
 
     def _evict_paused(self, target: Target, judgements: list[Judgement]) -> None:
-        """Take caches of programs that are silent for long out of an engine."""
+        """Export or release caches of programs that have been paused for long."""
         now = time.monotonic()
         for judgement in judgements:
             if judgement.gone or judgement.paused is None:
@@ -159,7 +166,7 @@
     def _measure_bytes_per_token(
         self, target: Target, listing: dict[str, int], judgements: list[Judgement]
     ) -> None:
-        """Learn how many bytes of the engine's memory a token takes."""
+        """Estimate the bytes of engine memory per cached token from paused programs."""
         paused = [j for j in judgements if j.paused is not None]
         n_tokens = sum(j.paused.cached_tokens for j in paused)
         n_bytes = sum(listing.get(j.program, 0) for j in paused)
@@ -206,7 +213,11 @@
         return found
 
     def _holder_url(self, program: str) -> str:
-        """Return the peers' URL of the program's holder, the home zone's first."""
+        """Return the peer URL of the program's holder, or an empty string.
+
+        The zones are tried in the order of their rank for the program, the home zone
+        first.
+        """
         for zone in self._zones_of(program):
             holder = self.membership.holder(
                 SlotKind.PROGRAM, _placement_key(program), zone
--- a/packages/swifttide_daemon/src/swifttide_daemon/retention/_messages.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/retention/_messages.py
@@ -7,28 +7,30 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedPrograms:
-    """Programs that an engine lists, as ``customer/root/program``."""
+    """Programs in the cache listing of an engine, as ``customer/root/program``."""
 
     programs: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Judgement:
-    """What a program's holder says of a program that an engine lists.
+    """State of a listed program, as its holder reports it.
 
     Parameters
     ----------
     program : str
     fencing : int
-        Version of the program's row, for orders about its cache.
+        Version of the program's row, sent as fencing token with orders about its
+        cache.
     gone : bool
-        Whether it ended or was silent beyond its profile's limit.
+        Whether the program has ended or been idle beyond the limit of its profile.
     paused : PausedProgram or None
-        Set while it waits for a tool; None while a call runs.
+        Set while the program pauses between calls, such as for a tool; None while it
+        is active or has no stored row.
     paused_seconds : float
-        How long it has waited.
+        Duration of the pause so far.
     turns : int
-        Committed turns.
+        Number of committed turns.
     """
 
     program: str
@@ -41,22 +43,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Judgements:
-    """Answer about listed programs; those that nothing is known of are left out."""
+    """Reply about listed programs; unknown programs are left out."""
 
     judgements: tuple[Judgement, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class ExportedCache:
-    """A cache that was moved from an engine to the platform's objects.
+    """A cache that was exported from an engine to the platform's object storage.
 
     Parameters
     ----------
     program : str
         ``customer/root/program``.
     name : str
-        Object that holds it.
+        Name of the object that contains the cache.
     tokens : int
+        Number of tokens in the cache.
     """
 
     program: str
