--- a/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/_builder.py
@@ -1,4 +1,4 @@
-"""All parts of one host, put together."""
+"""Construction of all components of one host from its settings."""
 
 import random
 from pathlib import Path
@@ -23,7 +23,7 @@
 from swifttide_daemon.peers import PeerClient, PeerProof
 from swifttide_daemon.programs import ProgramRegistry, ProgramStore
 from swifttide_daemon.recording import Recorder
-from swifttide_daemon.retention import CacheKeeper, ProgramJudge
+from swifttide_daemon.retention import CacheReconciler, ProgramJudge
 from swifttide_daemon.runners import (
     CallRunner,
     ChatRunner,
@@ -50,7 +50,7 @@
 
 
 class Builder:
-    """Makes the parts in the order in which they need each other.
+    """Creates the components of a host in the order of their dependencies.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
         self.rng = random.Random()
 
     def build(self) -> Daemon:
-        """Return a host that is put together and does nothing until its start."""
+        """Return a complete host with bound ports, which is inactive until `start`."""
         cfg = self.settings
         self.telemetry = Telemetry.from_settings(cfg)
         self.gate = Gate()
@@ -71,7 +71,7 @@
         self._build_runners()
         self._build_entry_side()
         self._bind_servers()
-        self._note_zones()
+        self._watch_zones()
         return Daemon(
             settings=cfg,
             telemetry=self.telemetry,
@@ -131,7 +131,7 @@
         self.book = ProgramRegistry(
             ProgramStore(self.platform), self.telemetry.metrics.end_program
         )
-        self.caches = CacheKeeper(
+        self.caches = CacheReconciler(
             self.membership,
             self.config,
             self.book,
@@ -219,7 +219,7 @@
             self.caches,
             self.outages,
         )
-        # A caller's body grows by a third as base64 on its way between hosts.
+        # Between hosts a caller's body is sent as base64, which is a third longer.
         peer_app = App(handlers.routes(), 2 * limits.max_body_bytes, self.proof.check)
         self.callers = WebServer.from_settings(
             cfg.caller_address,
@@ -268,7 +268,7 @@
             Route("GET", "/metrics", health.metrics),
         ]
 
-    def _note_zones(self) -> None:
+    def _watch_zones(self) -> None:
         self.config.add_listener(
             lambda _changes: self.membership.add_known_zones(
                 target.zone for target in self.config.targets()
--- a/packages/swifttide_daemon/src/swifttide_daemon/operators/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/operators/_handlers.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a host, by any host of the fleet."""
+"""Handlers of the operator API, which every host of the fleet serves."""
 
 from typing import Any
 
@@ -19,12 +19,12 @@
 from swifttide_daemon.store import PlatformClient
 from swifttide_daemon.web import Request, Response
 
-OPERATOR_HASH_CHARS = 8
-"""Characters of the key's hash that the history shows."""
+KEY_HASH_PREFIX_CHARACTERS = 8
+"""Length of the prefix of the operator's key hash that is stored with an edit."""
 
 
 class OperatorHandlers:
-    """Edits and views of the configuration and the fleet.
+    """Handlers to edit the configuration, and to view it, the fleet and programs.
 
     Parameters
     ----------
@@ -50,44 +50,51 @@
         self.programs = programs
 
     def list_documents(self, req: Request, kind: str) -> Response:
-        """Answer ``GET /v1/operator/documents/{kind}``."""
-        checked = self._check(req, kind)
+        """Answer ``GET /v1/operator/documents/{kind}`` with all documents of a kind."""
+        checked = self._authorize(req, kind)
         if checked.is_error():
             return Response.from_refusal(checked.error)
         changes = self.config.state.latest_changes_of_kind(checked.ok[1])
         return Response.from_json(
             {
-                "documents": [_shown(change) for change in changes],
+                "documents": [_document_view(change) for change in changes],
                 "config_version": self.config.version,
             }
         )
 
     def show_document(self, req: Request, kind: str, name: str) -> Response:
-        """Answer ``GET /v1/operator/documents/{kind}/{name}``."""
-        checked = self._check(req, kind)
+        """Answer ``GET /v1/operator/documents/{kind}/{name}`` with one document."""
+        checked = self._authorize(req, kind)
         if checked.is_error():
             return Response.from_refusal(checked.error)
         change = self.config.state.latest_change(checked.ok[1], name)
         if change is None or change.document is None:
             return Response.from_refusal(
-                Refusal(Reason.NOT_FOUND, f"no {kind} {name!r} in force here")
+                Refusal(
+                    Reason.NOT_FOUND,
+                    f"no {kind} {name!r} in the configuration of this host",
+                )
             )
-        return Response.from_json(_shown(change))
+        return Response.from_json(_document_view(change))
 
     def put_document(self, req: Request, kind: str, name: str) -> Response:
-        """Answer ``PUT /v1/operator/documents/{kind}/{name}``."""
-        checked = self._check(req, kind)
+        """Answer ``PUT /v1/operator/documents/{kind}/{name}``.
+
+        The document is validated before it is stored; null removes it. An edit whose
+        base version isn't the current version is refused with the current document.
+        """
+        checked = self._authorize(req, kind)
         if checked.is_error():
             return Response.from_refusal(checked.error)
         identity, of_kind = checked.ok
-        body = _edit_body(req.body)
+        body = _parse_edit(req.body)
         if body.is_error():
             return Response.from_refusal(body.error)
         document, base_version = body.ok
         if document is not None:
             decoded = check_document(of_kind, document)
             if decoded.is_error():
-                return _wrong_document(decoded.error)
+                return _invalid_document(decoded.error)
             if document_name(of_kind, decoded.ok) != name:
                 return Response.from_refusal(
                     Refusal(
@@ -102,7 +109,7 @@
             name,
             document,
             base_version,
-            identity.key_hash[:OPERATOR_HASH_CHARS],
+            identity.key_hash[:KEY_HASH_PREFIX_CHARACTERS],
         )
         match outcome:
             case Accepted(version):
@@ -125,7 +132,10 @@
                 return Response.from_refusal(platform_refusal(verdict))
 
     def history(self, req: Request) -> Response:
-        """Answer ``GET /v1/operator/history``, newest last."""
+        """Answer ``GET /v1/operator/history`` with all edits, newest last.
+
+        The query parameters ``kind`` and ``name`` filter the edits.
+        """
         identity = self.authenticator.operator(req)
         if identity.is_error():
             return Response.from_refusal(identity.error)
@@ -155,7 +165,7 @@
         )
 
     def targets(self, req: Request) -> Response:
-        """Answer ``GET /v1/operator/targets``."""
+        """Answer ``GET /v1/operator/targets`` from the configuration of this host."""
         identity = self.authenticator.operator(req)
         if identity.is_error():
             return Response.from_refusal(identity.error)
@@ -175,7 +185,7 @@
             return Response.from_refusal(identity.error)
         return self.programs.end_for_customer(customer, program)
 
-    def _check(
+    def _authorize(
         self, req: Request, kind: str
     ) -> Result[tuple[Identity, DocumentKind], Refusal]:
         identity = self.authenticator.operator(req)
@@ -190,7 +200,7 @@
             )
 
 
-def _shown(change: Any) -> dict[str, Any]:
+def _document_view(change: Any) -> dict[str, Any]:
     return {
         "name": change.name,
         "version": change.version,
@@ -198,7 +208,7 @@
     }
 
 
-def _edit_body(
+def _parse_edit(
     body: bytes,
 ) -> Result[tuple[dict[str, Any] | None, int | None], Refusal]:
     try:
@@ -206,13 +216,13 @@
         document = msgspec.convert(raw.get("document"), dict[str, Any] | None)
         base = msgspec.convert(raw.get("base_version"), int | None)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
-        return Error(Refusal(Reason.BAD_REQUEST, f"the body: {exc}"))
+        return Error(Refusal(Reason.BAD_REQUEST, f"invalid body: {exc}"))
     if "document" not in raw:
-        return Error(Refusal(Reason.BAD_REQUEST, "expected the member 'document'"))
+        return Error(Refusal(Reason.BAD_REQUEST, "the member 'document' is missing"))
     return Ok((document, base))
 
 
-def _wrong_document(errors: tuple[Any, ...]) -> Response:
+def _invalid_document(errors: tuple[Any, ...]) -> Response:
     detail = "; ".join(str(error) for error in errors)
     return Response.from_refusal(
         Refusal(Reason.BAD_REQUEST, detail), errors=[str(error) for error in errors]
--- a/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/peering/_handlers.py
@@ -20,7 +20,7 @@
 from swifttide_daemon.membership import MembershipService, OutageService, PromiseRequest
 from swifttide_daemon.peering._heartbeat import Heartbeat
 from swifttide_daemon.retention import (
-    CacheKeeper,
+    CacheReconciler,
     ExportedCache,
     Judgements,
     ListedPrograms,
@@ -63,7 +63,7 @@
         Queues of the targets.
     strikes : StrikeService
         Records of requests that crash their targets.
-    caches : CacheKeeper
+    caches : CacheReconciler
         Caches of programs at the targets.
     outages : OutageService
         Lease extensions while the platform is unavailable.
@@ -78,7 +78,7 @@
         shares: ShareService,
         grants: GrantClient,
         strikes: StrikeService,
-        caches: CacheKeeper,
+        caches: CacheReconciler,
         outages: OutageService,
     ) -> None:
         self.outages = outages
@@ -223,7 +223,7 @@
         exported = _decode(req, ExportedCache)
         if exported.is_error():
             return Response.from_refusal(exported.error)
-        self.caches.note_exported(exported.ok)
+        self.caches.record_export(exported.ok)
         return Response.from_json({})
 
 
--- a/packages/swifttide_daemon/src/swifttide_daemon/retention/_cache_keeper.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/retention/_cache_keeper.py
@@ -1,11 +1,14 @@
-"""Engine memory of programs that are gone or pause.
-
-An engine's cache events are late and have gaps, hosts die between a program's end and
-the release of its cache, and silent programs say nothing at all. What holds is the
-engine's own listing: the holder of a target reads it now and then, asks the
-holders of the listed programs what became of them, and orders the release again
-and again until the listing shows it. Nothing has to be remembered for that, so a
-successor needs nothing from its predecessor.
+"""Release of engine cache that is held by ended, idle and paused programs.
+
+The holder of a target periodically reads the engine's listing of cached programs and
+asks the holders of these programs for their state. It orders the release of caches of
+programs that are gone, in each round again until the listing no longer contains them.
+Caches of long-paused programs are exported or released.
+
+Only the engine's own listing is reliable: its cache events are late and have gaps,
+hosts may fail between the end of a program and the release of its cache, and programs
+that fall silent send nothing at all. As no state is kept between rounds, a new holder
+of the target needs nothing from its predecessor.
 """
 
 import logging
@@ -41,14 +44,17 @@
 
 log = logging.getLogger(__name__)
 
-RECONCILE_SECONDS = 3.0
-MAX_RELEASES = 200
-"""Orders to one engine in one round, so that a host that takes over slots with
-thousands of silent programs doesn't hold up the other engines."""
+RECONCILE_INTERVAL_SECONDS = 3.0
+MAX_RELEASES_PER_ROUND = 200
+"""Limit of release orders to one engine per round.
 
+Without it, a host that takes over slots with thousands of silent programs would delay
+the other engines.
+"""
 
-class CacheKeeper:
-    """Reconciles engines' listings with the programs that still run.
+
+class CacheReconciler:
+    """Reconciles the cache listings of engines with the programs that still run.
 
     Parameters
     ----------
@@ -56,11 +62,11 @@
     config : ConfigService
     book : ProgramRegistry
     judge : ProgramJudge
-        For programs whose slots are held here.
+        Reports the state of programs whose slots this host holds.
     engines : EngineClient
     peers : PeerClient
     queues : QueueService
-        Told which programs' memory is free again.
+        Notified of released programs and of the bytes of cache per token.
     """
 
     def __init__(
@@ -86,21 +92,21 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Reconcile from now on."""
+        """Start the thread that reconciles periodically."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Reconcile no more."""
+        """Stop the thread before its next round."""
         self._stop.set()
 
-    def note_exported(self, exported: ExportedCache) -> None:
-        """Keep in mind, as a program's holder, where its cache was moved."""
+    def record_export(self, exported: ExportedCache) -> None:
+        """Record, as the holder of a program, where its cache was exported to."""
         customer, root, program = exported.program.split("/", 2)
         cache = (exported.name, exported.tokens)
         self.book.record_cache_export(customer, root, program, cache)
 
     def _run(self) -> None:
-        while not self._stop.wait(RECONCILE_SECONDS):
+        while not self._stop.wait(RECONCILE_INTERVAL_SECONDS):
             for target in self.config.targets():
                 if target.kind is not TargetKind.ENGINE:
                     continue
@@ -109,9 +115,10 @@
                 try:
                     self._reconcile(target)
                 except Exception:
-                    # One odd listing must not keep the memory of other engines.
+                    # An unexpected listing of one engine must not prevent the release
+                    # of cache at other engines.
                     log.exception("reconciling failed", extra={"target": target.name})
-            self.judge.forget_old()
+            self.judge.evict_unlisted()
             self.book.evict()
 
     def _reconcile(self, target: Target) -> None:
@@ -119,10 +126,10 @@
         if listing is None:
             return
         self.held_bytes[target.name] = sum(listing.values())
-        judgements = self._judgements(tuple(listing))
+        judgements = self._collect_judgements(tuple(listing))
         self._release_gone(target, listing, judgements)
-        self._thin_out(target, judgements)
-        self._measure_tokens(target, listing, judgements)
+        self._evict_paused(target, judgements)
+        self._measure_bytes_per_token(target, listing, judgements)
 
     def _release_gone(
         self,
@@ -133,12 +140,12 @@
         gone = {j.program: j for j in judgements if j.gone}
         now = time.monotonic()
         held = (HeldCache(p, target.name, listing[p], True, now) for p in gone)
-        for cache in release_order(held)[:MAX_RELEASES]:
+        for cache in release_order(held)[:MAX_RELEASES_PER_ROUND]:
             fencing = gone[cache.program].fencing
             self._release(target, cache.program, fencing)
 
-    def _thin_out(self, target: Target, judgements: list[Judgement]) -> None:
-        """Take caches of programs that are silent for long out of an engine."""
+    def _evict_paused(self, target: Target, judgements: list[Judgement]) -> None:
+        """Export or release caches of programs that have been paused for long."""
         now = time.monotonic()
         for judgement in judgements:
             if judgement.gone or judgement.paused is None:
@@ -156,10 +163,10 @@
         if self.engines.release_cache(target, program, fencing):
             self.queues.end_program(target.name, program)
 
-    def _measure_tokens(
+    def _measure_bytes_per_token(
         self, target: Target, listing: dict[str, int], judgements: list[Judgement]
     ) -> None:
-        """Learn how many bytes of the engine's memory a token takes."""
+        """Estimate the bytes of engine memory per cached token from paused programs."""
         paused = [j for j in judgements if j.paused is not None]
         n_tokens = sum(j.paused.cached_tokens for j in paused)
         n_bytes = sum(listing.get(j.program, 0) for j in paused)
@@ -173,18 +180,20 @@
             return
         exported = ExportedCache(program, name, judgement.paused.cached_tokens)
         for zone in self._zones_of(program):
-            holder = self.membership.holder(SlotKind.PROGRAM, _key(program), zone)
+            holder = self.membership.holder(
+                SlotKind.PROGRAM, _placement_key(program), zone
+            )
             if holder is None:
                 continue
             if holder.host == self.membership.me.host:
-                self.note_exported(exported)
+                self.record_export(exported)
             else:
                 url = holder.peer_url
                 self.peers.call(url, "POST", "/peer/v1/programs/exported", exported)
             break
         self._release(target, program, fencing)
 
-    def _judgements(self, programs: tuple[str, ...]) -> list[Judgement]:
+    def _collect_judgements(self, programs: tuple[str, ...]) -> list[Judgement]:
         by_holder: dict[str, list[str]] = {}
         mine: list[str] = []
         for program in programs:
@@ -204,17 +213,23 @@
         return found
 
     def _holder_url(self, program: str) -> str:
-        """Return the peers' URL of the program's holder, the home zone's first."""
+        """Return the peer URL of the program's holder, or an empty string.
+
+        The zones are tried in the order of their rank for the program, the home zone
+        first.
+        """
         for zone in self._zones_of(program):
-            holder = self.membership.holder(SlotKind.PROGRAM, _key(program), zone)
+            holder = self.membership.holder(
+                SlotKind.PROGRAM, _placement_key(program), zone
+            )
             if holder is not None:
                 return holder.peer_url
         return ""
 
     def _zones_of(self, program: str) -> list[str]:
-        return ranked_zones(_key(program), self.membership.zones())
+        return ranked_zones(_placement_key(program), self.membership.zones())
 
 
-def _key(program: str) -> str:
+def _placement_key(program: str) -> str:
     """Return the placement key of ``customer/root/program``."""
     return program.rpartition("/")[0]
--- a/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_traceparent.py
+++ b/packages/swifttide_daemon/src/swifttide_daemon/telemetry/_traceparent.py
@@ -1,4 +1,4 @@
-"""The W3C trace context header.
+"""Parsing and writing of the W3C ``traceparent`` header.
 
 References
 ----------
@@ -8,20 +8,22 @@
 import re
 from dataclasses import dataclass
 
-_FORM = re.compile(r"([0-9a-f]{2})-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})(-.*)?")
-_SAMPLED = 0x01
+_HEADER_PATTERN = re.compile(
+    r"([0-9a-f]{2})-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})(-.*)?"
+)
+_SAMPLED_FLAG = 0x01
 
 
 @dataclass(frozen=True, slots=True)
 class TraceParent:
-    """Place of a request in its trace.
+    """Trace and parent span of a request.
 
     Parameters
     ----------
     trace_id : int
-        128 bits, not zero.
+        Id of the trace, 128 bits, not zero.
     span_id : int
-        64 bits of the caller's span, not zero.
+        Id of the caller's span, 64 bits, not zero.
     sampled : bool
         Whether the caller records the trace.
     """
@@ -32,11 +34,11 @@
 
     @classmethod
     def from_header(cls, value: str) -> "TraceParent | None":
-        """Parse a header; None when it doesn't follow the standard.
+        """Parse a header; return None if it is invalid.
 
-        A wrong header starts a new trace instead of failing the request.
+        An invalid header starts a new trace and does not make the request fail.
         """
-        found = _FORM.fullmatch(value)
+        found = _HEADER_PATTERN.fullmatch(value)
         if found is None:
             return None
         version, trace_id, span_id, flags, rest = found.groups()
@@ -44,10 +46,10 @@
             return None
         if int(trace_id, 16) == 0 or int(span_id, 16) == 0:
             return None
-        sampled = bool(int(flags, 16) & _SAMPLED)
+        sampled = bool(int(flags, 16) & _SAMPLED_FLAG)
         return cls(int(trace_id, 16), int(span_id, 16), sampled)
 
     def to_header(self) -> str:
-        """Return the header of version 00."""
-        flags = _SAMPLED if self.sampled else 0
+        """Return the header in version 00 of the format."""
+        flags = _SAMPLED_FLAG if self.sampled else 0
         return f"00-{self.trace_id:032x}-{self.span_id:016x}-{flags:02x}"
